--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -17,10 +17,10 @@
 
 from stonetrack import api
 from stonetrack.api import Role
+from stonetrack.emulator.engine import Spec
 from stonetrack.fleet.rules import Judge
 from stonetrack.fleet.serving import SECOND, Ask, Play
 from stonetrack.fleet.traffic import Traffic
-from stonetrack.standin.engine import Spec
 
 MS = 1_000_000
 READERS, WRITERS = 6, 6
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -19,8 +19,8 @@
 
 from benchmarks.cold import settings
 from stonetrack.api import Role
+from stonetrack.emulator.engine import Spec
 from stonetrack.fleet.serving import SECOND, Ask, Play
-from stonetrack.standin.engine import Spec
 
 EACH = 6  # readers, and writers
 TURNS = 4  # of a session
--- a/benchmarks/owning.py
+++ b/benchmarks/election.py
@@ -1,9 +1,9 @@
 """Drawn histories of stewards under faults, judged; hand-over times over lease lengths; register calls over candidates.
 
-.venv/bin/python -m benchmarks.owning histories [--count 200] [--side-by-side 3]
-.venv/bin/python -m benchmarks.owning handover
-.venv/bin/python -m benchmarks.owning service
-.venv/bin/python -m benchmarks.owning explore
+.venv/bin/python -m benchmarks.election histories [--count 200] [--side-by-side 3]
+.venv/bin/python -m benchmarks.election handover
+.venv/bin/python -m benchmarks.election service
+.venv/bin/python -m benchmarks.election explore
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 import click
 
+from stonetrack.election.explore import Bounds, Less, drawn, explore
 from stonetrack.fleet import owners
 from stonetrack.fleet.rig import LISTS_LOG, Played, play
 from stonetrack.fleet.script import parse_script
-from stonetrack.owning.explore import Bounds, Less, drawn, explore
 
 
 def script(draw: random.Random, count: int, lease: float, faults: list[dict[str, Any]], seconds: float) -> str:
--- a/benchmarks/shutout.py
+++ b/benchmarks/shutout.py
@@ -11,7 +11,7 @@
 import click
 
 from stonetrack.control.explore import Bounds, Less, explore
-from stonetrack.owning.search import Found
+from stonetrack.election.search import Found
 
 CASES = [
     ("two nodes", Bounds(restarts=0, given_up=0), Less.NOTHING),
--- a/stonetrack/register/embedded.py
+++ b/stonetrack/cas_store/embedded.py
@@ -14,7 +14,7 @@
 
 import lmdb
 
-from stonetrack.register.ports import NONE, Entry, RegisterError, Unknown, checked
+from stonetrack.cas_store.ports import NONE, Entry, RegisterError, Unknown, checked
 
 _COUNT = b"\x00count"
 LOOK = 0.05  # seconds between two looks of who follows
--- a/stonetrack/register/etcd.py
+++ b/stonetrack/cas_store/etcd.py
@@ -6,7 +6,7 @@
 
 Numbers of 64 bits are strings there, and a field that is zero is left out.  etcd's own leases are not used: a key that
 goes by itself takes the term with it, and what ends a lease early (a new leader) would end ours unseen; ours are in
-the record (``owning.lease``).  Several endpoints are tried in turn, a write only while it certainly was not sent.
+the record (``election.lease``).  Several endpoints are tried in turn, a write only while it certainly was not sent.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 import msgspec
 
 from stonetrack import api
+from stonetrack.cas_store.ports import NONE, Entry, RegisterError, Unknown, checked
 from stonetrack.engines import calls
 from stonetrack.engines.calls import CallFailed
 from stonetrack.node.sockets import connect
-from stonetrack.register.ports import NONE, Entry, RegisterError, Unknown, checked
 from stonetrack.wire import http1, writer
 from stonetrack.wire.errors import ProtocolError
 
--- a/stonetrack/cli/auditing.py
+++ b/stonetrack/cli/audit.py
@@ -12,7 +12,7 @@
 import click
 import msgspec
 
-from stonetrack.cli.serving import FILE, LOG, VAR, log_to, told_to_stop, variables
+from stonetrack.cli.serve import FILE, LOG, VAR, log_to, told_to_stop, variables
 
 if TYPE_CHECKING:
     from stonetrack.audit.account import Acting, Span
--- a/stonetrack/cli/capturing.py
+++ b/stonetrack/cli/capture.py
@@ -1,4 +1,4 @@
-"""Commands on captures: ls, show, verify, explain; replay.  What changes a folder is in :mod:`.keeping`."""
+"""Commands on captures: ls, show, verify, explain; replay.  What changes a folder is in :mod:`.capture_changes`."""
 
 from __future__ import annotations
 
--- a/stonetrack/cli/keeping.py
+++ b/stonetrack/cli/capture_changes.py
@@ -12,7 +12,7 @@
 from stonetrack.capture.codec import CaptureError
 from stonetrack.capture.store import Store
 from stonetrack.capture.tend import Tender
-from stonetrack.cli.capturing import FOLDER, Refusal, capture, module_at, plain, segments
+from stonetrack.cli.capture import FOLDER, Refusal, capture, module_at, plain, segments
 from stonetrack.clocks import wall_time_ns
 
 
--- a/stonetrack/cli/controlling.py
+++ b/stonetrack/cli/control.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from stonetrack.cli.serving import FILE, LOG, PORT, VAR, run_until_told, variables
+from stonetrack.cli.serve import FILE, LOG, PORT, VAR, run_until_told, variables
 from stonetrack.settings import SettingsError, evaluate
 
 AT = click.argument("at", metavar="HOST:PORT")
--- a/stonetrack/cli/stewarding.py
+++ b/stonetrack/cli/controller.py
@@ -12,12 +12,12 @@
 import click
 import msgspec
 
-from stonetrack.cli.serving import FILE, LOG, PORT, VAR, log_to, told_to_stop, variables
+from stonetrack.cli.serve import FILE, LOG, PORT, VAR, log_to, told_to_stop, variables
 
 if TYPE_CHECKING:
-    from stonetrack.owning.lease import Record
-    from stonetrack.register.ports import Register
-    from stonetrack.steward.settings import Steward
+    from stonetrack.cas_store.ports import Register
+    from stonetrack.controller.settings import Steward
+    from stonetrack.election.lease import Record
 
 
 @click.group()
@@ -28,7 +28,7 @@
 @contextmanager
 def _plainly(file: Path) -> Iterator[None]:
     """What can't be done, on standard error and as exit code: 2 for settings, 1 for the register."""
-    from stonetrack.register.ports import RegisterError
+    from stonetrack.cas_store.ports import RegisterError
     from stonetrack.settings import SettingsError
 
     try:
@@ -43,8 +43,8 @@
 
 @contextmanager
 def _register(file: Path, var: tuple[str, ...]) -> Iterator[tuple[Steward, Register]]:
-    from stonetrack.steward.service import opened
-    from stonetrack.steward.settings import load_steward
+    from stonetrack.controller.service import opened
+    from stonetrack.controller.settings import load_steward
 
     with _plainly(file):
         settings = load_steward(file, variables(var))
@@ -62,8 +62,8 @@
 @LOG
 def run(file: Path, var: tuple[str, ...], port: int | None, log_path: Path | None) -> None:
     """Be a candidate, and do the work while owner, until TERM; then hand over."""
-    from stonetrack.fronts.host import listen
-    from stonetrack.steward.service import Port, Steward
+    from stonetrack.controller.service import Port, Steward
+    from stonetrack.frontend.host import listen
 
     stop = told_to_stop()
     with _register(file, var) as (settings, register):
@@ -81,8 +81,8 @@
 
 
 def _record(settings: Steward, register: Register) -> Record | None:
-    from stonetrack.owning.lease import Record
-    from stonetrack.steward.service import key_of
+    from stonetrack.controller.service import key_of
+    from stonetrack.election.lease import Record
 
     entry = register.read(key_of(settings.fleet, "owner"))
     return msgspec.json.decode(entry.value, type=Record) if entry.revision else None
@@ -118,7 +118,7 @@
 @VAR
 def ls(file: Path, var: tuple[str, ...]) -> None:
     """All that the register holds of the fleet, a line a key."""
-    from stonetrack.steward.service import key_of
+    from stonetrack.controller.service import key_of
 
     with _register(file, var) as (settings, register):
         prefix = key_of(settings.fleet, "")
@@ -132,8 +132,8 @@
 @VAR
 def jobs(file: Path, var: tuple[str, ...]) -> None:
     """Each job's journal: steps done, the one that was begun, its state."""
-    from stonetrack.steward.jobs import Noted
-    from stonetrack.steward.service import key_of
+    from stonetrack.controller.jobs import Noted
+    from stonetrack.controller.service import key_of
 
     with _register(file, var) as (settings, register):
         prefix = key_of(settings.fleet, "job/")
@@ -150,7 +150,7 @@
 @VAR
 def history(file: Path, var: tuple[str, ...]) -> None:
     """Who took over when, oldest first."""
-    from stonetrack.steward.service import history as takings
+    from stonetrack.controller.service import history as takings
 
     with _register(file, var) as (settings, register):
         for line in takings(register, settings.fleet)[0]:
@@ -161,7 +161,7 @@
 def _change(
     file: Path, var: tuple[str, ...], change: Callable[[Record], Record], said: Callable[[Record], str]
 ) -> None:
-    from stonetrack.steward.service import rewritten
+    from stonetrack.controller.service import rewritten
 
     with _register(file, var) as (settings, register):
         click.echo(f"fleet {settings.fleet}: {said(rewritten(register, settings.fleet, change))}")
@@ -173,7 +173,7 @@
 @VAR
 def pause(file: Path, why: str, var: tuple[str, ...]) -> None:
     """Let nobody own the work: the owner stops within a beat, its step under way ends."""
-    from stonetrack.owning.lease import replace_record
+    from stonetrack.election.lease import replace_record
 
     _change(file, var, lambda r: replace_record(r, paused=why), lambda r: f"paused: {r.paused}")
 
@@ -187,7 +187,7 @@
 @VAR
 def resume(file: Path, past: int, var: tuple[str, ...]) -> None:
     """Take a pause back; with --past, also say that a register which went back may be used again."""
-    from stonetrack.owning.lease import replace_record
+    from stonetrack.election.lease import replace_record
 
     def change(record: Record) -> Record:
         if past >= record.term and past:
@@ -203,6 +203,6 @@
 @VAR
 def hand_over(file: Path, to: str, var: tuple[str, ...]) -> None:
     """Ask the owner to hand over within a beat."""
-    from stonetrack.owning.lease import replace_record
+    from stonetrack.election.lease import replace_record
 
     _change(file, var, lambda r: replace_record(r, wanted=to), lambda r: f"{r.owner or 'nobody'} is asked to hand over")
--- a/stonetrack/cli/trying.py
+++ b/stonetrack/cli/emulators.py
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from stonetrack.cli.serving import FILE, load_or_exit, run_supervisor, told_to_stop
+from stonetrack.cli.serve import FILE, load_or_exit, run_supervisor, told_to_stop
 
 DEMO = Path(__file__).parent / "demo.jsonnet"
 
@@ -30,8 +30,8 @@
 
     FILE is a JSON or Jsonnet fleet; without one, so many readers, writers and mixed engines.
     """
+    from stonetrack.emulator.host import Fleet, Host, run_process, small_fleet
     from stonetrack.settings import SettingsError, evaluate
-    from stonetrack.standin.host import Fleet, Host, run_process, small_fleet
 
     try:
         if file is not None:
@@ -54,8 +54,8 @@
 @click.option("--state", type=click.Path(dir_okay=False, path_type=Path), help="Keeps the keys over restarts.")
 def standin_etcd(port: int, state: Path | None) -> None:
     """A stand-in of etcd's JSON gateway, with faults, until TERM."""
-    from stonetrack.fronts.host import listen
-    from stonetrack.standin.etcd import Gateway
+    from stonetrack.emulator.etcd import Gateway
+    from stonetrack.frontend.host import listen
 
     stop = told_to_stop()
     listener = listen("127.0.0.1", port, 128)
@@ -103,7 +103,7 @@
 @click.option("--quiet", is_flag=True, help="No progress.")
 def day_run(file: Path, seed: int, report: Path, quiet: bool) -> None:
     """Run a day and judge the five rules from what passed on the sockets; exit code 1 on a broken rule."""
-    from stonetrack.day.run import run_day
+    from stonetrack.scenario.run import run_day
 
     sys.exit(run_day(file, seed, report, progress=not quiet and os.isatty(2)))
 
@@ -121,7 +121,7 @@
 @click.option("--rate", type=click.FloatRange(0.1, 10_000), default=60.0, show_default=True, help="Requests a second.")
 def day_from_bench(file: Path, out: Path | None, engines: int, instances: int, seconds: float, rate: float) -> None:
     """Turn the troubles of a bench day (JSON) into a scenario for the real node."""
-    from stonetrack.day.bench import BenchError, convert
+    from stonetrack.scenario.bench import BenchError, convert
 
     try:
         made, left_out = convert(file.read_bytes(), engines=engines, instances=instances, seconds=seconds, rate=rate)
--- a/stonetrack/cli/fleeting.py
+++ b/stonetrack/cli/fleet.py
@@ -7,7 +7,7 @@
 
 import click
 
-from stonetrack.cli.serving import FILE, VAR, variables
+from stonetrack.cli.serve import FILE, VAR, variables
 
 
 @click.group()
--- a/stonetrack/cli/serving.py
+++ b/stonetrack/cli/serve.py
@@ -81,7 +81,7 @@
 @click.argument("key", required=False)
 def hash_key(key: str | None) -> None:
     """Print the hash of an API key for the settings (asks for the key where none is given)."""
-    from stonetrack.fronts.auth import key_hash
+    from stonetrack.frontend.auth import key_hash
 
     click.echo(key_hash(key or click.prompt("key", hide_input=True, err=True)))
 
@@ -178,7 +178,7 @@
     ``run`` takes settings, listener, log, what to call when it is ready, and the event that ends it; ``damaged`` is
     what it raises for a state folder that can't be used.
     """
-    from stonetrack.fronts.host import listen
+    from stonetrack.frontend.host import listen
 
     stop = told_to_stop()
     try:
@@ -203,8 +203,8 @@
 @LOG
 def lists(file: Path, var: tuple[str, ...], port: int | None, log_path: Path | None) -> None:
     """Run the list service until TERM: it tells all nodes which engines there are."""
-    from stonetrack.lists.keeping import KeepingError
-    from stonetrack.lists.service import PATH, run
-    from stonetrack.lists.settings import load_lists
+    from stonetrack.discovery.keeping import KeepingError
+    from stonetrack.discovery.service import PATH, run
+    from stonetrack.discovery.settings import load_lists
 
     run_until_told(file, port, log_path, lambda: load_lists(file, variables(var)), run, KeepingError, PATH)
--- a/stonetrack/control/calls.py
+++ b/stonetrack/control/calls.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
+from stonetrack.election.fence import HEADER, NOBODY, Token
 from stonetrack.engines import calls
 from stonetrack.engines.calls import CallFailed
 from stonetrack.engines.listing import split_address
-from stonetrack.owning.fence import HEADER, NOBODY, Token
 from stonetrack.wire import writer
 
 
--- a/stonetrack/control/explore.py
+++ b/stonetrack/control/explore.py
@@ -22,7 +22,7 @@
 
 from stonetrack.control.follow import Permit
 from stonetrack.control.stale_nodes import Node, Order, Rules, orders
-from stonetrack.owning.search import Found, search
+from stonetrack.election.search import Found, search
 
 NAMES = ("a", "b", "c")
 RULES = Rules(grace={"rule": 1}, bound={"rule": 1}, silent=3, restart_pause=100, restarts=0, most_out=0.5,
--- a/stonetrack/control/service.py
+++ b/stonetrack/control/service.py
@@ -33,12 +33,12 @@
 from stonetrack.control.stale_nodes import Evidence, Node, Order, orders
 from stonetrack.control.wire import Answer, Report
 from stonetrack.durable import save
-from stonetrack.fronts.connection import Connection, Request
-from stonetrack.fronts.host import Host, plain
-from stonetrack.fronts.refusals import error_body, plain_refusal
-from stonetrack.fronts.waiting import Waiting
+from stonetrack.election.fence import HEADER, NOBODY, Fence, Refused, Token, token_of
+from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.host import Host, plain
+from stonetrack.frontend.refusals import error_body, plain_refusal
+from stonetrack.frontend.waiting import Waiting
 from stonetrack.node.drive import Waker
-from stonetrack.owning.fence import HEADER, NOBODY, Fence, Refused, Token, token_of
 
 LOOK = 0.2  # seconds from one look at all nodes to the next, at the least
 LOOKED_AT = 5_000.0  # nodes a second: a look at so many takes 0.1 s
--- a/stonetrack/steward/calls.py
+++ b/stonetrack/controller/calls.py
@@ -13,16 +13,16 @@
 from stonetrack.clocks import wall_time
 from stonetrack.control.calls import ControlError
 from stonetrack.control.calls import call as control
+from stonetrack.controller.captures import retained
+from stonetrack.controller.checking import Check, Tally
+from stonetrack.controller.jobs import Facts, Step
+from stonetrack.controller.publishing import Publish
+from stonetrack.controller.retaining import Retain
+from stonetrack.controller.rolling import RollOut
+from stonetrack.controller.settings import Steward as Settings
+from stonetrack.election.fence import HEADER, NOBODY, Token
 from stonetrack.engines import calls
 from stonetrack.engines.calls import CallFailed
-from stonetrack.owning.fence import HEADER, NOBODY, Token
-from stonetrack.steward.captures import retained
-from stonetrack.steward.checking import Check, Tally
-from stonetrack.steward.jobs import Facts, Step
-from stonetrack.steward.publishing import Publish
-from stonetrack.steward.retaining import Retain
-from stonetrack.steward.rolling import RollOut
-from stonetrack.steward.settings import Steward as Settings
 from stonetrack.wire import writer
 
 PROBERS = 16  # checks under way at one time
@@ -167,7 +167,7 @@
     # Effects.
 
     def carry_out(self, step: Step, token: Token, away: tuple[str, ...] = ()) -> dict[str, Any]:
-        """One effect; engines ``away`` stay told as leaving.  Raises CallRefused, owning.fence.Refused, OSError."""
+        """One effect; engines ``away`` stay told as leaving.  Raises CallRefused, election.fence.Refused, OSError."""
         args = step.args
         if step.what == "retain":
             return {"deleted": len(retained(Path(args["folder"]), args["budget"], token))}
--- a/stonetrack/steward/captures.py
+++ b/stonetrack/controller/captures.py
@@ -10,7 +10,7 @@
 
 from stonetrack.capture.recorder import retain
 from stonetrack.durable import save
-from stonetrack.owning.fence import NOBODY, Fence, Token
+from stonetrack.election.fence import NOBODY, Fence, Token
 
 FILE = "owner.json"
 
--- a/stonetrack/steward/checking.py
+++ b/stonetrack/controller/checking.py
@@ -15,8 +15,8 @@
 
 from msgspec import Meta
 
+from stonetrack.controller.jobs import Facts, Step, Timeless, Wait
 from stonetrack.settings.schema import Share, Strict
-from stonetrack.steward.jobs import Facts, Step, Timeless, Wait
 
 
 class Checks(Strict, frozen=True):
--- a/stonetrack/steward/jobs.py
+++ b/stonetrack/controller/jobs.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from stonetrack.owning.fence import Token
+from stonetrack.election.fence import Token
 
 
 class Step(msgspec.Struct, frozen=True):
--- a/stonetrack/steward/maintenance.py
+++ b/stonetrack/controller/maintenance.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
+from stonetrack.controller.jobs import Facts, Step, Wait
 from stonetrack.settings.schema import Strict
-from stonetrack.steward.jobs import Facts, Step, Wait
 
 AWAY = ("draining", "out", "back")
 
--- a/stonetrack/steward/publishing.py
+++ b/stonetrack/controller/publishing.py
@@ -12,7 +12,7 @@
 
 from typing import Any
 
-from stonetrack.steward.jobs import Facts, Step, Timeless, Wait
+from stonetrack.controller.jobs import Facts, Step, Timeless, Wait
 
 
 class Publish(Timeless):
--- a/stonetrack/steward/retaining.py
+++ b/stonetrack/controller/retaining.py
@@ -8,8 +8,8 @@
 
 from typing import Any
 
+from stonetrack.controller.jobs import Facts, Step, Timeless, Wait
 from stonetrack.settings.schema import Strict
-from stonetrack.steward.jobs import Facts, Step, Timeless, Wait
 
 
 class Retention(Strict, frozen=True):
--- a/stonetrack/steward/rolling.py
+++ b/stonetrack/controller/rolling.py
@@ -14,8 +14,8 @@
 from stonetrack.control import rollout
 from stonetrack.control.rollout import Next, Sample, Terms, Verdict
 from stonetrack.control.stale_nodes import Evidence
+from stonetrack.controller.jobs import Facts, Step, Wait
 from stonetrack.settings.schema import Share, Strict
-from stonetrack.steward.jobs import Facts, Step, Wait
 
 
 class Rollout(Strict, frozen=True):
--- a/stonetrack/steward/service.py
+++ b/stonetrack/controller/service.py
@@ -23,24 +23,24 @@
 from prometheus_client.metrics_core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
+from stonetrack.cas_store.embedded import Embedded
+from stonetrack.cas_store.etcd import Etcd
+from stonetrack.cas_store.ports import Entry, Register, RegisterError, Unknown
 from stonetrack.clocks import rig_offset_ns, wall_time, wall_time_ns
-from stonetrack.fronts.connection import Connection, Request
-from stonetrack.fronts.host import Host, plain
-from stonetrack.fronts.refusals import error_body, plain_refusal
-from stonetrack.owning.fence import Refused, Token
-from stonetrack.owning.lease import Lease, Look, Outcome, Record, Rest, Stage, Swap, Terms
-from stonetrack.register.embedded import Embedded
-from stonetrack.register.etcd import Etcd
-from stonetrack.register.ports import Entry, Register, RegisterError, Unknown
-from stonetrack.steward import jobs
-from stonetrack.steward.calls import CallRefused, Receivers
-from stonetrack.steward.checking import Check
-from stonetrack.steward.jobs import Kind, Noted, Overtaken, Wait
-from stonetrack.steward.maintenance import Roll, away
-from stonetrack.steward.publishing import Publish
-from stonetrack.steward.retaining import Retain
-from stonetrack.steward.rolling import RollOut
-from stonetrack.steward.settings import Steward as Settings
+from stonetrack.controller import jobs
+from stonetrack.controller.calls import CallRefused, Receivers
+from stonetrack.controller.checking import Check
+from stonetrack.controller.jobs import Kind, Noted, Overtaken, Wait
+from stonetrack.controller.maintenance import Roll, away
+from stonetrack.controller.publishing import Publish
+from stonetrack.controller.retaining import Retain
+from stonetrack.controller.rolling import RollOut
+from stonetrack.controller.settings import Steward as Settings
+from stonetrack.election.fence import Refused, Token
+from stonetrack.election.lease import Lease, Look, Outcome, Record, Rest, Stage, Swap, Terms
+from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.host import Host, plain
+from stonetrack.frontend.refusals import error_body, plain_refusal
 
 Log = Callable[..., None]
 SECOND = 1_000_000_000
--- a/stonetrack/steward/settings.py
+++ b/stonetrack/controller/settings.py
@@ -7,13 +7,13 @@
 
 from msgspec import Meta
 
+from stonetrack.controller.checking import Checks
+from stonetrack.controller.maintenance import Maintenance
+from stonetrack.controller.retaining import Retention
+from stonetrack.controller.rolling import Rollout
 from stonetrack.settings import SettingsError, decode, evaluate
 from stonetrack.settings.check import Problem
 from stonetrack.settings.schema import Limits, Listen, Strict, Timing
-from stonetrack.steward.checking import Checks
-from stonetrack.steward.maintenance import Maintenance
-from stonetrack.steward.retaining import Retention
-from stonetrack.steward.rolling import Rollout
 
 Seconds = Annotated[float, Meta(gt=0.0, le=86_400.0)]
 
--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -28,6 +28,7 @@
 from stonetrack import __version__, api, logic
 from stonetrack.audit.account import Acting
 from stonetrack.audit.keeping import Keeper, names, told
+from stonetrack.bootstrap.stages import Stage
 from stonetrack.capture import snapshot
 from stonetrack.capture.codec import Header
 from stonetrack.capture.recorder import Recorder
@@ -43,11 +44,11 @@
 from stonetrack.engines.hints import Hints, good_at_of
 from stonetrack.engines.listing import Engine, Line, Listing
 from stonetrack.engines.sources import ListSource
-from stonetrack.fronts.app import App, refusal
-from stonetrack.fronts.classify import hash_key
-from stonetrack.fronts.errors import ApiError
-from stonetrack.fronts.host import Host
-from stonetrack.fronts.service import Record
+from stonetrack.frontend.app import App, refusal
+from stonetrack.frontend.classify import hash_key
+from stonetrack.frontend.errors import ApiError
+from stonetrack.frontend.host import Host
+from stonetrack.frontend.service import Record
 from stonetrack.logic import Router
 from stonetrack.node.core import Core, Decider
 from stonetrack.node.drive import Bounds, Drive, Waker
@@ -55,7 +56,6 @@
 from stonetrack.node.ports import Ask, Sink
 from stonetrack.settings import Node
 from stonetrack.settings.check import router_settings
-from stonetrack.starting.stages import Stage
 
 MS = 1_000_000
 MakeRouter = Callable[[api.Settings, int], Decider]
--- a/stonetrack/daemon/meters.py
+++ b/stonetrack/daemon/meters.py
@@ -10,7 +10,7 @@
 from prometheus_client.metrics_core import Metric
 from prometheus_client.registry import Collector
 
-from stonetrack.fronts.service import Record
+from stonetrack.frontend.service import Record
 
 SECOND = 1e9
 OTHER = "other"  # a class or tenant that the settings no longer have
--- a/stonetrack/daemon/readiness.py
+++ b/stonetrack/daemon/readiness.py
@@ -1,4 +1,4 @@
-"""Carries out what :mod:`stonetrack.starting.stages` decides: connections opened ahead, readiness, its log lines.
+"""Carries out what :mod:`stonetrack.bootstrap.stages` decides: connections opened ahead, readiness, its log lines.
 
 One thread, which lives until the node is ready and comes back when it is not any more.
 """
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 
 from stonetrack.api import Role
+from stonetrack.bootstrap.stages import Rules, Stage, Starting
 from stonetrack.settings import Node
-from stonetrack.starting.stages import Rules, Stage, Starting
 
 MS = 1_000_000
 AGAIN = 0.25  # seconds between two rounds of connections
--- a/stonetrack/daemon/supervisor.py
+++ b/stonetrack/daemon/supervisor.py
@@ -32,7 +32,7 @@
 
 from stonetrack.daemon.limits import raise_limits
 from stonetrack.daemon.naming import node_name
-from stonetrack.fronts.host import listen
+from stonetrack.frontend.host import listen
 from stonetrack.settings import Node, SettingsError, load
 
 if TYPE_CHECKING:
--- a/stonetrack/lists/keeping.py
+++ b/stonetrack/discovery/keeping.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
+from stonetrack.discovery.history import History, Line, LinesError
 from stonetrack.durable import save
-from stonetrack.lists.history import History, Line, LinesError
-from stonetrack.owning.fence import NOBODY, Token
+from stonetrack.election.fence import NOBODY, Token
 
 FILE = "list.json"
 
--- a/stonetrack/lists/service.py
+++ b/stonetrack/discovery/service.py
@@ -29,19 +29,19 @@
 from prometheus_client.registry import Collector
 
 from stonetrack.clocks import wall_time
+from stonetrack.discovery.history import History, Line, LinesError, Told
+from stonetrack.discovery.keeping import keep, new_origin, restore
+from stonetrack.discovery.settings import Lists
+from stonetrack.discovery.turns import ComeAgain, Turns
+from stonetrack.election.fence import HEADER, Fence, Refused, Token, token_of
 from stonetrack.engines import listing
 from stonetrack.engines.listing import ListError, split_address
 from stonetrack.engines.sources import stamp
-from stonetrack.fronts.connection import Connection, Request
-from stonetrack.fronts.host import Host, plain
-from stonetrack.fronts.refusals import error_body, plain_refusal
-from stonetrack.fronts.waiting import Waiting
-from stonetrack.lists.history import History, Line, LinesError, Told
-from stonetrack.lists.keeping import keep, new_origin, restore
-from stonetrack.lists.settings import Lists
-from stonetrack.lists.turns import ComeAgain, Turns
+from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.host import Host, plain
+from stonetrack.frontend.refusals import error_body, plain_refusal
+from stonetrack.frontend.waiting import Waiting
 from stonetrack.node.drive import Waker
-from stonetrack.owning.fence import HEADER, Fence, Refused, Token, token_of
 
 MS, SECOND = 1_000_000, 1_000_000_000
 PATH = "/engines"
--- a/stonetrack/edge/config.py
+++ b/stonetrack/edge/config.py
@@ -1,7 +1,8 @@
 """What a node is told: ``EDGE_CONFIG``, JSON as the operators write it.  No I/O.
 
 ``settings`` is the object that an instance is given by the simulator's first message, nested.  It is flattened to the
-paths of that message and read by ``drill``, which reads it for the bench: one reader, so that the two can't differ.
+paths of that message and read by ``simulator_adapter``, which reads it for the bench: one reader, so that the two can't
+differ.
 Unknown names are passed over, there and here.
 """
 
@@ -13,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from stonetrack import api, drill
+from stonetrack import api, simulator_adapter
 from stonetrack.engines.listing import split_address
 
 
@@ -102,7 +103,7 @@
         raise ConfigError(f"$.seed: found {told.seed[:40]!r}; allowed: hexadecimal digits") from None
     pairs = flatten(told.settings)
     try:
-        settings = drill.parse_settings(pairs)
+        settings = simulator_adapter.parse_settings(pairs)
     except ValueError as error:
         raise ConfigError(f"$.settings: {error}") from None
     _check_amounts(settings)
--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
-from stonetrack import drill
+from stonetrack import simulator_adapter
 from stonetrack.api import Action, Event, LoadReport
 from stonetrack.clocks import node_clock
 from stonetrack.edge import asks, metrics
@@ -35,8 +35,8 @@
 from stonetrack.edge.sink import EdgeSink, whole
 from stonetrack.edge.watch import Watch
 from stonetrack.engines.pool import Pool
-from stonetrack.fronts.connection import Connection, Request
-from stonetrack.fronts.host import Host, listen
+from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.host import Host, listen
 from stonetrack.node.core import Core
 from stonetrack.node.drive import Bounds, Drive, Waker
 from stonetrack.node.records import Records
@@ -69,7 +69,7 @@
         self.config, self._traced = config, traced
         self.clock = node_clock()
         budget = divide(config.limits.sockets, config.limits.memory_mb)
-        self._told = drill.Instance({**config.pairs, "entropy": str(config.seed)})
+        self._told = simulator_adapter.Instance({**config.pairs, "entropy": str(config.seed)})
         record = self._recorder() if traced else None
         self.core = Core(
             self._told.router,
@@ -142,7 +142,7 @@
     def _report(self, pairs: str) -> LoadReport | None:
         try:
             return self._told.report({"health_info": pairs})
-        except drill.WireError:
+        except simulator_adapter.WireError:
             return None
 
     def _probe(self, server: str) -> None:
--- a/stonetrack/edge/sink.py
+++ b/stonetrack/edge/sink.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from stonetrack.fronts.connection import Connection, Request
-from stonetrack.fronts.host import plain
-from stonetrack.fronts.writing import ConnectionSink
+from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.host import plain
+from stonetrack.frontend.writing import ConnectionSink
 from stonetrack.node import ports
 from stonetrack.wire import writer
 
--- a/stonetrack/owning/__init__.py
+++ b/stonetrack/election/__init__.py
@@ -2,5 +2,5 @@
 
 In: times of a monotonic clock, what a register holds, what became of a write to it.  Out: what to read or write there
 next, and whether this process may act now (:mod:`.lease`); whether a receiver takes an effect (:mod:`.fence`).
-Must never touch: sockets, threads, clocks, files, chance of its own; the fleet's work itself (``steward``).
+Must never touch: sockets, threads, clocks, files, chance of its own; the fleet's work itself (``controller``).
 """
--- a/stonetrack/owning/explore.py
+++ b/stonetrack/election/explore.py
@@ -22,9 +22,9 @@
 from enum import Flag, auto
 from typing import TypeVar
 
-from stonetrack.owning.fence import NOBODY, Fence, Refused, Token
-from stonetrack.owning.lease import Lease, Look, Outcome, Record, Rest, Stage, Swap, Terms
-from stonetrack.owning.search import Found, search
+from stonetrack.election.fence import NOBODY, Fence, Refused, Token
+from stonetrack.election.lease import Lease, Look, Outcome, Record, Rest, Stage, Swap, Terms
+from stonetrack.election.search import Found, search
 
 T = TypeVar("T")
 CHANCE = 0.0  # all candidates ask as soon as they may
--- a/stonetrack/standin/engine.py
+++ b/stonetrack/emulator/engine.py
@@ -25,7 +25,7 @@
 import msgspec
 
 from stonetrack.api import LoadReport, Role
-from stonetrack.standin import answers
+from stonetrack.emulator import answers
 
 MS = 1_000_000
 SECOND = 1_000 * MS
--- a/stonetrack/standin/etcd.py
+++ b/stonetrack/emulator/etcd.py
@@ -26,8 +26,8 @@
 import msgspec
 
 from stonetrack.durable import save
-from stonetrack.fronts.connection import Connection, Request
-from stonetrack.fronts.host import Host, plain
+from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.host import Host, plain
 from stonetrack.settings.schema import Limits, Timing
 
 FAULTS = ("slow", "late", "lost", "no_leader", "forget", "compact")
--- a/stonetrack/standin/host.py
+++ b/stonetrack/emulator/host.py
@@ -1,9 +1,9 @@
 """The stand-ins' sockets: one thread, one epoll set, any number of engines, the list service and the control port.
 
 List: ``GET /engines?after=VERSION&origin=HISTORY&wait_ms=N`` tells of the list service's own
-:class:`~stonetrack.lists.history.History` what is newer (204 when the wait is over), without its turns and its disk.  A
-change of an engine shows there ``list_delay_ms`` later.  Control: ``POST /fault`` with ``{"engine", "fault", …}``, and
-``GET /state``.
+:class:`~stonetrack.discovery.history.History` what is newer (204 when the wait is over), without its turns and its
+disk.  A change of an engine shows there ``list_delay_ms`` later.  Control: ``POST /fault`` with ``{"engine", "fault",
+…}``, and ``GET /state``.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 from stonetrack.api import Role, ServerState
 from stonetrack.clocks import wall_time
+from stonetrack.discovery.history import History
+from stonetrack.discovery.keeping import new_origin
+from stonetrack.emulator.engine import MS, WARM, Cut, Engine, Events, Fell, Note, Out, Reply, Spec
+from stonetrack.emulator.tap import Tap
 from stonetrack.engines import load, protocol
-from stonetrack.lists.history import History
-from stonetrack.lists.keeping import new_origin
-from stonetrack.standin.engine import MS, WARM, Cut, Engine, Events, Fell, Note, Out, Reply, Spec
-from stonetrack.standin.tap import Tap
 from stonetrack.wire import http1, sse, writer
 from stonetrack.wire.errors import ProtocolError
 
--- a/stonetrack/engines/sources.py
+++ b/stonetrack/engines/sources.py
@@ -2,7 +2,7 @@
 
 HTTP: ``GET URL?after=VERSION&origin=HISTORY&wait_ms=N`` answers 200 with a document newer than the version, 204 when
 the wait is over, 429 or 503 with ``Retry-After`` where it can't answer now.  When it is asked and which document comes
-into force is decided in :mod:`stonetrack.starting`; here are the thread, the socket and the file.
+into force is decided in :mod:`stonetrack.bootstrap`; here are the thread, the socket and the file.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from pathlib import Path
 
 from stonetrack import api
+from stonetrack.bootstrap.asking import Asker, Ended, Terms
+from stonetrack.bootstrap.holding import Choice, Holding, Stamp
+from stonetrack.bootstrap.steps import Pace, Steps
 from stonetrack.durable import save
 from stonetrack.engines.calls import CallFailed, exchange
 from stonetrack.engines.listing import Document, Engine, ListError, Listing, read
 from stonetrack.settings.schema import Source
-from stonetrack.starting.asking import Asker, Ended, Terms
-from stonetrack.starting.holding import Choice, Holding, Stamp
-from stonetrack.starting.steps import Pace, Steps
 from stonetrack.wire import http1, writer
 
 MS, SECOND = 1_000_000, 1_000_000_000
--- a/stonetrack/fleet/links.py
+++ b/stonetrack/fleet/links.py
@@ -26,10 +26,10 @@
 import msgspec
 
 from stonetrack.control.wire import Answer
+from stonetrack.emulator.tap import Tap
 from stonetrack.fleet.listening import bound, end_listening
 from stonetrack.fleet.shape import Pipe, Policy
 from stonetrack.node.sockets import reset
-from stonetrack.standin.tap import Tap
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
 
--- a/stonetrack/fleet/model.py
+++ b/stonetrack/fleet/model.py
@@ -1,7 +1,7 @@
 """The list traffic of a fleet in simulated time: the nodes' and the service's own decisions, no process, no socket.
 
-Each node is an :class:`~stonetrack.starting.asking.Asker` and a :class:`~stonetrack.starting.holding.Holding`, the
-service the :class:`~stonetrack.lists.turns.Turns` of the real one; what lies between them is a delay for each way.
+Each node is an :class:`~stonetrack.bootstrap.asking.Asker` and a :class:`~stonetrack.bootstrap.holding.Holding`, the
+service the :class:`~stonetrack.discovery.turns.Turns` of the real one; what lies between them is a delay for each way.
 What passes is written down in the links' words (:mod:`.links`), so that one judge reads both.
 """
 
@@ -14,10 +14,10 @@
 from functools import partial
 from typing import Any
 
+from stonetrack.bootstrap.asking import Asker, Ended, Question, Terms
+from stonetrack.bootstrap.holding import Choice, Holding, Stamp
+from stonetrack.discovery.turns import ComeAgain, Turns
 from stonetrack.fleet.script import Script
-from stonetrack.lists.turns import ComeAgain, Turns
-from stonetrack.starting.asking import Asker, Ended, Question, Terms
-from stonetrack.starting.holding import Choice, Holding, Stamp
 
 MS, SECOND = 1_000_000, 1_000_000_000
 WAY = (200_000, 800_000)  # nanoseconds that bytes take one way
--- a/stonetrack/fleet/rig.py
+++ b/stonetrack/fleet/rig.py
@@ -28,6 +28,9 @@
 from stonetrack.control.calls import ControlError
 from stonetrack.control.calls import call as control
 from stonetrack.durable import save
+from stonetrack.election.fence import Token
+from stonetrack.emulator.host import Fleet
+from stonetrack.emulator.tap import Tap, read
 from stonetrack.engines import calls
 from stonetrack.engines.calls import CallFailed
 from stonetrack.fleet import judge
@@ -40,10 +43,7 @@
 from stonetrack.fleet.rules import Judge, Kill, Terms, Verdict
 from stonetrack.fleet.script import FROM, ON_ENGINES, ON_LINKS, ON_REGISTER, Fault, Publication, Script, picked
 from stonetrack.fleet.traffic import class_settings
-from stonetrack.owning.fence import Token
 from stonetrack.settings import merged
-from stonetrack.standin.host import Fleet
-from stonetrack.standin.tap import Tap, read
 from stonetrack.wire import writer
 
 ROOT = Path(__file__).parent.parent.parent
--- a/stonetrack/fleet/rules.py
+++ b/stonetrack/fleet/rules.py
@@ -1,6 +1,6 @@
 """The five rules and the service, from what passed on client and engine sockets.  No I/O.
 
-Evidence is what clients saw (``load.Seen``) and the stand-ins' log (``standin.tap``), both with times of one clock,
+Evidence is what clients saw (``load.Seen``) and the stand-ins' log (``emulator.tap``), both with times of one clock,
 and when instances were killed.  Nothing that a node says of itself counts.
 
 1. *One final answer in time, nothing after it.*  Every request that a running instance took is answered (served,
--- a/stonetrack/fleet/script.py
+++ b/stonetrack/fleet/script.py
@@ -14,13 +14,13 @@
 
 from msgspec import Meta
 
+from stonetrack.emulator.engine import Spec
+from stonetrack.emulator.etcd import FAULTS as REGISTER_FAULTS
+from stonetrack.emulator.host import FAULTS
 from stonetrack.fleet.traffic import Clients
 from stonetrack.settings import SettingsError, decode, evaluate
 from stonetrack.settings.check import Problem
 from stonetrack.settings.schema import Strict
-from stonetrack.standin.engine import Spec
-from stonetrack.standin.etcd import FAULTS as REGISTER_FAULTS
-from stonetrack.standin.host import FAULTS
 
 FROM = "@from"  # whoever the record is from that a fault waits for
 ON_LINKS = ("refuse", "cut", "cut_there", "cut_back", "delay", "slow", "reset", "break_after")
--- a/stonetrack/fleet/serving.py
+++ b/stonetrack/fleet/serving.py
@@ -1,7 +1,7 @@
 """The requests of a fleet in simulated time: the routers and the stand-in engines that run, no process, no socket.
 
 Each node is a :class:`~stonetrack.logic.Router`, each engine the stand-ins' own
-:class:`~stonetrack.standin.engine.Engine`; what lies between them is a delay each way.  What engines see is written
+:class:`~stonetrack.emulator.engine.Engine`; what lies between them is a delay each way.  What engines see is written
 down in the taps' words, so that the judge of the five rules (:mod:`.rules`) reads it like a real play's.  For what
 can't be seen with processes on one machine: two hundred nodes, twenty seeds, twice of what the engines can do.
 """
@@ -17,8 +17,8 @@
 
 from stonetrack import api
 from stonetrack.api import Outcome, Role
+from stonetrack.emulator.engine import Cut, Engine, Events, Fell, Note, Out, Reply, Spec
 from stonetrack.logic import Router
-from stonetrack.standin.engine import Cut, Engine, Events, Fell, Note, Out, Reply, Spec
 
 MS, SECOND = 1_000_000, 1_000_000_000
 WAY = MS  # what bytes take from a node to an engine, or back
--- a/stonetrack/fronts/admission.py
+++ b/stonetrack/frontend/admission.py
@@ -6,11 +6,11 @@
 from typing import Any, Protocol
 
 from stonetrack.api import Effect
-from stonetrack.fronts import auth, classify
-from stonetrack.fronts.connection import Request
-from stonetrack.fronts.errors import ApiError
-from stonetrack.fronts.service import Record, Service
-from stonetrack.fronts.sinks import HttpSink
+from stonetrack.frontend import auth, classify
+from stonetrack.frontend.connection import Request
+from stonetrack.frontend.errors import ApiError
+from stonetrack.frontend.service import Record, Service
+from stonetrack.frontend.sinks import HttpSink
 from stonetrack.node import ports
 from stonetrack.node.drive import Waker
 from stonetrack.settings.schema import Node
--- a/stonetrack/fronts/app.py
+++ b/stonetrack/frontend/app.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from stonetrack.fronts.admission import Admission
-from stonetrack.fronts.chat import Chat
-from stonetrack.fronts.connection import Connection, Request
-from stonetrack.fronts.errors import ApiError
-from stonetrack.fronts.host import plain
-from stonetrack.fronts.kserve import PREFIX, KServe
-from stonetrack.fronts.service import Service
+from stonetrack.frontend.admission import Admission
+from stonetrack.frontend.chat import Chat
+from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.errors import ApiError
+from stonetrack.frontend.host import plain
+from stonetrack.frontend.kserve import PREFIX, KServe
+from stonetrack.frontend.service import Service
 from stonetrack.node.drive import Waker
 
 _encode = msgspec.json.Encoder().encode
--- a/stonetrack/fronts/host.py
+++ b/stonetrack/frontend/host.py
@@ -27,7 +27,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from stonetrack.fronts.connection import Connection, HostState, Request
+from stonetrack.frontend.connection import Connection, HostState, Request
 from stonetrack.node import sockets
 from stonetrack.node.drive import Waker
 from stonetrack.node.ports import ClientLost
--- a/stonetrack/fronts/kserve.py
+++ b/stonetrack/frontend/kserve.py
@@ -13,12 +13,12 @@
 from msgspec import Meta
 
 from stonetrack import __version__
-from stonetrack.fronts.admission import Admission
-from stonetrack.fronts.chat import ChatRequest, Message, decode, new_id
-from stonetrack.fronts.connection import Connection, Request
-from stonetrack.fronts.errors import ApiError
-from stonetrack.fronts.host import plain
-from stonetrack.fronts.sinks import EventSink, HttpSink, WholeSink
+from stonetrack.frontend.admission import Admission
+from stonetrack.frontend.chat import ChatRequest, Message, decode, new_id
+from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.errors import ApiError
+from stonetrack.frontend.host import plain
+from stonetrack.frontend.sinks import EventSink, HttpSink, WholeSink
 from stonetrack.node import ports
 from stonetrack.node.drive import Waker
 
--- a/stonetrack/fronts/refusals.py
+++ b/stonetrack/frontend/refusals.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from stonetrack.fronts.host import plain
+from stonetrack.frontend.host import plain
 
 
 def error_body(why: str) -> bytes:
--- a/stonetrack/fronts/sinks.py
+++ b/stonetrack/frontend/sinks.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from stonetrack.fronts import errors
-from stonetrack.fronts.connection import Connection, Request
-from stonetrack.fronts.host import plain
-from stonetrack.fronts.writing import ConnectionSink
+from stonetrack.frontend import errors
+from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.host import plain
+from stonetrack.frontend.writing import ConnectionSink
 from stonetrack.node import ports
 from stonetrack.wire import sse, writer
 
--- a/stonetrack/fronts/waiting.py
+++ b/stonetrack/frontend/waiting.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable
 
-from stonetrack.fronts.connection import Connection
+from stonetrack.frontend.connection import Connection
 from stonetrack.node.drive import Waker
 
 _GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
--- a/stonetrack/fronts/writing.py
+++ b/stonetrack/frontend/writing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stonetrack.fronts.connection import Connection
+from stonetrack.frontend.connection import Connection
 
 
 class ConnectionSink:
--- a/stonetrack/day/page.py
+++ b/stonetrack/scenario/page.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from typing import Any
 
-from stonetrack.day.played import Played
 from stonetrack.fleet.judge import quantile
 from stonetrack.pages.style import STYLE, as_svg, table
+from stonetrack.scenario.played import Played
 
 SECOND = 1e9
 _COLOURS = {
--- a/stonetrack/day/played.py
+++ b/stonetrack/scenario/played.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stonetrack.day.script import Day
 from stonetrack.fleet.load import Seen
 from stonetrack.fleet.rules import Kill, Verdict
+from stonetrack.scenario.script import Day
 
 
 @dataclass
--- a/stonetrack/day/run.py
+++ b/stonetrack/scenario/run.py
@@ -18,18 +18,18 @@
 import click
 import msgspec
 
-from stonetrack.day.page import write_page
-from stonetrack.day.played import Played
-from stonetrack.day.script import Day, load_day, plan
+from stonetrack.emulator.host import Fleet
+from stonetrack.emulator.tap import read
 from stonetrack.engines.calls import CallFailed
 from stonetrack.fleet.load import Load, gone, kill, schedule
 from stonetrack.fleet.processes import Process, inject, program
 from stonetrack.fleet.pulse import Pulse
 from stonetrack.fleet.rules import Judge, Kill, Terms
 from stonetrack.fleet.traffic import Step, class_settings
+from stonetrack.scenario.page import write_page
+from stonetrack.scenario.played import Played
+from stonetrack.scenario.script import Day, load_day, plan
 from stonetrack.settings import Node, SettingsError, merged, parse
-from stonetrack.standin.host import Fleet
-from stonetrack.standin.tap import read
 
 QUIET = 1.5  # seconds after the last answer in which things must be let go of
 BUSY = 0.5  # of a play's time waited for processors: from here on a broken rule may be the machine's
--- a/stonetrack/day/script.py
+++ b/stonetrack/scenario/script.py
@@ -14,12 +14,12 @@
 from msgspec import Meta
 
 from stonetrack.api import Role
+from stonetrack.emulator.engine import Spec
+from stonetrack.emulator.host import FAULTS
 from stonetrack.fleet.traffic import Clients, Step
 from stonetrack.settings import SettingsError, decode, evaluate
 from stonetrack.settings.check import Problem
 from stonetrack.settings.schema import Strict
-from stonetrack.standin.engine import Spec
-from stonetrack.standin.host import FAULTS
 
 INSTANCE_TROUBLES = ("kill", "reload")
 LOAD_TROUBLES = ("burst", "new_beginning")
--- a/stonetrack/drill.py
+++ b/stonetrack/simulator_adapter.py
@@ -316,7 +316,7 @@
             return f"WRITE_LOG{head}\tline={text}"
 
 
-class Drill:
+class SimulatorAdapter:
     """All instances of one process; :meth:`run` serves batches to the end of input."""
 
     def __init__(self) -> None:
@@ -412,8 +412,8 @@
 
 
 def main() -> int:
-    """Entry point of ``python -m stonetrack.drill``."""
-    return Drill().run(sys.stdin, sys.stdout)
+    """Entry point of ``python -m stonetrack.simulator_adapter``."""
+    return SimulatorAdapter().run(sys.stdin, sys.stdout)
 
 
 if __name__ == "__main__":
--- a/stonetrack/soak/play.py
+++ b/stonetrack/soak/play.py
@@ -16,6 +16,7 @@
 from pathlib import Path
 from typing import Any
 
+from stonetrack.emulator.tap import Tap, read
 from stonetrack.fleet.clients import Apart
 from stonetrack.fleet.links import Link, Links
 from stonetrack.fleet.listening import bound
@@ -28,7 +29,6 @@
 from stonetrack.soak.nodes import Node, Use
 from stonetrack.soak.oracle import SERVICE_LEAST, Evidence, Lateness, Oracle, Terms, Violation
 from stonetrack.soak.platform import Platform, listen
-from stonetrack.standin.tap import Tap, read
 
 MS = 1_000_000
 SECOND = 1_000 * MS
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -14,7 +14,7 @@
 
 from stonetrack.edge.config import parse
 from stonetrack.edge.serve import EdgeNode
-from stonetrack.fronts.host import listen
+from stonetrack.frontend.host import listen
 from stonetrack.soak import platform as emulated
 from stonetrack.soak.platform import CHAT, REPORT, Discovery
 from stonetrack.wire import http1
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -15,12 +15,12 @@
 import structlog
 
 from stonetrack.daemon.instance import Instance, MakeRouter
-from stonetrack.fronts.host import listen
+from stonetrack.emulator.engine import Spec
+from stonetrack.emulator.host import Fleet, Host, small_fleet
+from stonetrack.emulator.tap import Tap
+from stonetrack.frontend.host import listen
 from stonetrack.logic import Router
 from stonetrack.settings import Node, parse
-from stonetrack.standin.engine import Spec
-from stonetrack.standin.host import Fleet, Host, small_fleet
-from stonetrack.standin.tap import Tap
 from stonetrack.wire import http1, sse
 
 QUICK = {"read_rate": 200_000.0, "token_ms": 2.0, "read_ms": 0.5, "answer_least": 4, "answer_most": 12, "jitter": 0.0}
--- a/tests/test_starting.py
+++ b/tests/test_bootstrap.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stonetrack.starting.asking import GAP, KNOCK, RETRY_MOST, SECOND, Asker, Ended, Terms
-from stonetrack.starting.holding import BACK_FOR, Choice, Holding, Stamp
-from stonetrack.starting.stages import Rules, Stage, Starting
+from stonetrack.bootstrap.asking import GAP, KNOCK, RETRY_MOST, SECOND, Asker, Ended, Terms
+from stonetrack.bootstrap.holding import BACK_FOR, Choice, Holding, Stamp
+from stonetrack.bootstrap.stages import Rules, Stage, Starting
 
 MS = 1_000_000
 WAIT = 20 * SECOND
--- a/tests/test_cases.py
+++ b/tests/test_cases.py
@@ -14,7 +14,7 @@
 from stonetrack.capture.codec import Call, CaptureError, Header, Record, State
 from stonetrack.capture.history import read
 from stonetrack.capture.replay import replay
-from stonetrack.fronts.classify import ByteEstimator, hash_key, session_of, shape
+from stonetrack.frontend.classify import ByteEstimator, hash_key, session_of, shape
 from stonetrack.logic import Router
 from stonetrack.settings import parse
 from tests.rig import Client, chat, raw_settings, rig
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from stonetrack.fronts.connection import Connection, HostState, Request
-from stonetrack.fronts.host import Host, listen, plain
+from stonetrack.frontend.connection import Connection, HostState, Request
+from stonetrack.frontend.host import Host, listen, plain
 from stonetrack.node import sockets
 from stonetrack.node.drive import Waker
 from stonetrack.node.sockets import System
--- a/tests/test_steward.py
+++ b/tests/test_controller.py
@@ -15,6 +15,18 @@
 from stonetrack.cli.main import main
 from stonetrack.control.calls import ControlError
 from stonetrack.control.calls import call as control
+from stonetrack.controller import jobs
+from stonetrack.controller.calls import Receivers
+from stonetrack.controller.captures import retained
+from stonetrack.controller.checking import Check, Checks, Tally
+from stonetrack.controller.jobs import Facts, Kind, Noted, Overtaken, Step, Wait
+from stonetrack.controller.maintenance import Maintenance, Roll, away
+from stonetrack.controller.publishing import Publish
+from stonetrack.controller.retaining import Retain, Retention
+from stonetrack.controller.rolling import RollOut, Rollout
+from stonetrack.controller.service import opened, rewritten
+from stonetrack.controller.settings import load_steward
+from stonetrack.election.fence import HEADER, Refused, Token
 from stonetrack.engines import calls
 from stonetrack.engines.hints import Hints
 from stonetrack.engines.listing import Line
@@ -22,19 +34,7 @@
 from stonetrack.fleet.processes import address_of, program
 from stonetrack.fleet.rig import LISTS_LOG, Played, play
 from stonetrack.fleet.script import parse_script
-from stonetrack.owning.fence import HEADER, Refused, Token
 from stonetrack.settings import SettingsError
-from stonetrack.steward import jobs
-from stonetrack.steward.calls import Receivers
-from stonetrack.steward.captures import retained
-from stonetrack.steward.checking import Check, Checks, Tally
-from stonetrack.steward.jobs import Facts, Kind, Noted, Overtaken, Step, Wait
-from stonetrack.steward.maintenance import Maintenance, Roll, away
-from stonetrack.steward.publishing import Publish
-from stonetrack.steward.retaining import Retain, Retention
-from stonetrack.steward.rolling import RollOut, Rollout
-from stonetrack.steward.service import opened, rewritten
-from stonetrack.steward.settings import load_steward
 from stonetrack.wire import writer
 from tests.rig import wait_for
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -17,10 +17,10 @@
 
 import pytest
 
+from stonetrack.emulator.host import Fleet, Host, small_fleet
+from stonetrack.emulator.tap import Tap
 from stonetrack.fleet.processes import Process, program
 from stonetrack.settings import SettingsError, parse
-from stonetrack.standin.host import Fleet, Host, small_fleet
-from stonetrack.standin.tap import Tap
 from stonetrack.wire import http1
 from tests.rig import QUICK, Client, chat, raw_settings, wait_for
 
--- a/tests/test_lists.py
+++ b/tests/test_discovery.py
@@ -16,14 +16,14 @@
 from hypothesis import strategies as st
 
 from stonetrack.api import Role
+from stonetrack.discovery.history import History, LinesError
+from stonetrack.discovery.keeping import FILE, KeepingError, keep, restore
+from stonetrack.discovery.service import Service
+from stonetrack.discovery.settings import Lists, load_lists
+from stonetrack.discovery.turns import ComeAgain, Turn, Turns
 from stonetrack.engines.calls import call, exchange
 from stonetrack.engines.listing import Listing
-from stonetrack.fronts.host import listen
-from stonetrack.lists.history import History, LinesError
-from stonetrack.lists.keeping import FILE, KeepingError, keep, restore
-from stonetrack.lists.service import Service
-from stonetrack.lists.settings import Lists, load_lists
-from stonetrack.lists.turns import ComeAgain, Turn, Turns
+from stonetrack.frontend.host import listen
 from stonetrack.settings import SettingsError
 from stonetrack.settings.schema import Kind, Limits, Listen, Timing
 from stonetrack.wire import http1, writer
@@ -294,7 +294,7 @@
         def full(*_: Any) -> None:
             raise OSError(28, "No space left on device")
 
-        monkeypatch.setattr("stonetrack.lists.service.keep", full)
+        monkeypatch.setattr("stonetrack.discovery.service.keep", full)
         status, answer = put(port, [line("b")])
         assert status == 500 and "No space" in answer["error"]
         at = f"?after={whole['version']}&origin={whole['origin']}"
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -14,9 +14,9 @@
 from stonetrack import durable
 from stonetrack.audit import keeping
 from stonetrack.audit.account import Acting
+from stonetrack.cas_store.embedded import Embedded
+from stonetrack.cas_store.ports import RegisterError, Unknown
 from stonetrack.durable import save
-from stonetrack.register.embedded import Embedded
-from stonetrack.register.ports import RegisterError, Unknown
 
 STEPS = ("open", "write", "fsync", "replace", "folder")
 
--- a/tests/test_edge_serving.py
+++ b/tests/test_edge_serving.py
@@ -484,7 +484,7 @@
 
 def test_the_program_loads_what_it_uses_and_no_more() -> None:
     code = (
-        "import sys, stonetrack.cli.main, stonetrack.cli.edging, stonetrack.edge.serve\n"
+        "import sys, stonetrack.cli.main, stonetrack.cli.edge, stonetrack.edge.serve\n"
         "for name, module in list(sys.modules.items()):\n"
         "    if 'site-packages' in (getattr(module, '__file__', None) or ''):\n"
         "        print(name.partition('.')[0])"
--- a/tests/test_owning.py
+++ b/tests/test_election.py
@@ -14,16 +14,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from stonetrack.cas_store.embedded import Embedded
+from stonetrack.cas_store.etcd import Etcd
+from stonetrack.cas_store.ports import NONE, Entry, Register, RegisterError, Unknown
+from stonetrack.election.explore import Bounds, Less, drawn, explore
+from stonetrack.election.fence import NOBODY, Fence, Refused, Token, token_of
+from stonetrack.election.lease import ANY, Lease, Look, Outcome, Record, Rest, Stage, Swap, Terms
+from stonetrack.emulator.etcd import Gateway
 from stonetrack.engines import calls
 from stonetrack.fleet.linear import NEVER, Op, linearizable
-from stonetrack.fronts.host import listen
-from stonetrack.owning.explore import Bounds, Less, drawn, explore
-from stonetrack.owning.fence import NOBODY, Fence, Refused, Token, token_of
-from stonetrack.owning.lease import ANY, Lease, Look, Outcome, Record, Rest, Stage, Swap, Terms
-from stonetrack.register.embedded import Embedded
-from stonetrack.register.etcd import Etcd
-from stonetrack.register.ports import NONE, Entry, Register, RegisterError, Unknown
-from stonetrack.standin.etcd import Gateway
+from stonetrack.frontend.host import listen
 from stonetrack.wire import writer
 
 TERMS = Terms(lease=1_000, drift=0.05, margin=20)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,6 +19,8 @@
 
 from stonetrack.api import Role
 from stonetrack.audit.keeping import account
+from stonetrack.emulator.engine import WARM, Engine, Reply, Spec
+from stonetrack.emulator.tap import Tap, read
 from stonetrack.fleet import judge
 from stonetrack.fleet.links import Links
 from stonetrack.fleet.model import Model
@@ -28,8 +30,6 @@
 from stonetrack.fleet.script import Script, parse_script
 from stonetrack.fleet.shape import Pipe, Policy
 from stonetrack.settings import SettingsError
-from stonetrack.standin.engine import WARM, Engine, Reply, Spec
-from stonetrack.standin.tap import Tap, read
 from tests.rig import wait_for
 
 MS, SECOND = 1_000_000, 1_000_000_000
--- a/tests/test_fronts.py
+++ b/tests/test_frontend.py
@@ -16,9 +16,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stonetrack.fronts import jsonguard
-from stonetrack.fronts.auth import key_hash, tenant_of
-from stonetrack.fronts.classify import BadTimeLeft, ByteEstimator, class_of, session_of, shape, time_left
+from stonetrack.frontend import jsonguard
+from stonetrack.frontend.auth import key_hash, tenant_of
+from stonetrack.frontend.classify import BadTimeLeft, ByteEstimator, class_of, session_of, shape, time_left
 from stonetrack.settings import parse
 from stonetrack.settings.schema import Tenant
 from stonetrack.wire import http1
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -15,66 +15,76 @@
     "wire": set(),
     "node": set(),
     "settings": set(),
-    "starting": set(),
-    "engines": {"node", "wire", "settings", "starting"},
-    "fronts": {"node", "wire", "settings"},
+    "bootstrap": set(),
+    "engines": {"node", "wire", "settings", "bootstrap"},
+    "frontend": {"node", "wire", "settings"},
     "background": set(),
     "manage": {"settings"},
-    "owning": set(),
+    "election": set(),
     "pages": set(),
     "audit": {"pages", "engines", "node", "wire", "settings"},
-    "register": {"engines", "node", "wire"},
-    "control": {"owning", "fronts", "engines", "node", "wire", "settings"},
-    "steward": {"control", "capture", "lists", "fronts", "register", "owning", "engines", "wire", "settings"},
-    "lists": {"owning", "fronts", "engines", "node", "wire", "settings"},
+    "cas_store": {"engines", "node", "wire"},
+    "control": {"election", "frontend", "engines", "node", "wire", "settings"},
+    "controller": {
+        "control",
+        "capture",
+        "discovery",
+        "frontend",
+        "cas_store",
+        "election",
+        "engines",
+        "wire",
+        "settings",
+    },
+    "discovery": {"election", "frontend", "engines", "node", "wire", "settings"},
     "capture": {"logic", "background"},
     "daemon": {
         "control",
         "audit",
         "background",
         "capture",
-        "fronts",
+        "frontend",
         "engines",
         "node",
         "wire",
         "settings",
-        "starting",
+        "bootstrap",
         "logic",
     },  # fmt: skip
-    "edge": {"fronts", "engines", "node", "wire", "settings", "logic", "drill"},
-    "standin": {"lists", "register", "fronts", "settings", "engines", "wire"},
+    "edge": {"frontend", "engines", "node", "wire", "settings", "logic", "simulator_adapter"},
+    "emulator": {"discovery", "cas_store", "frontend", "settings", "engines", "wire"},
     "fleet": {
         "node",
         "control",
         "logic",
         "pages",
-        "standin",
-        "lists",
-        "register",
-        "owning",
-        "starting",
+        "emulator",
+        "discovery",
+        "cas_store",
+        "election",
+        "bootstrap",
         "engines",
         "wire",
         "settings",
     },  # fmt: skip
-    "soak": {"fleet", "standin", "wire"},
-    "day": {"pages", "fleet", "standin", "engines", "wire", "settings"},
+    "soak": {"fleet", "emulator", "wire"},
+    "scenario": {"pages", "fleet", "emulator", "engines", "wire", "settings"},
     "cli": {
         "control",
         "audit",
-        "steward",
-        "register",
-        "owning",
+        "controller",
+        "cas_store",
+        "election",
         "background",
         "capture",
-        "lists",
+        "discovery",
         "fleet",
         "soak",
-        "day",
-        "standin",
+        "scenario",
+        "emulator",
         "daemon",
         "edge",
-        "fronts",
+        "frontend",
         "engines",
         "settings",
     },  # fmt: skip
@@ -84,20 +94,20 @@
 PURE = [
     "wire/*.py", "node/invariants.py", "node/transitions.py",
     "node/life.py", "node/ports.py", "node/system_errors.py", "engines/protocol.py", "engines/load.py",
-    "engines/listing.py", "engines/releases.py", "engines/reuse.py", "engines/starts.py", "starting/*.py",
-    "lists/history.py", "lists/turns.py", "lists/settings.py", "owning/*.py", "audit/filter.py",
+    "engines/listing.py", "engines/releases.py", "engines/reuse.py", "engines/starts.py", "bootstrap/*.py",
+    "discovery/history.py", "discovery/turns.py", "discovery/settings.py", "election/*.py", "audit/filter.py",
     "audit/account.py", "audit/chain.py", "audit/questions.py", "audit/collecting.py", "audit/settings.py",
-    "register/ports.py", "steward/jobs.py", "steward/maintenance.py",
-    "steward/publishing.py", "steward/rolling.py", "steward/checking.py",
+    "cas_store/ports.py", "controller/jobs.py", "controller/maintenance.py",
+    "controller/publishing.py", "controller/rolling.py", "controller/checking.py",
     "engines/hints.py", "control/documents.py", "control/follow.py", "control/history.py", "control/rollout.py",
     "control/settings.py", "control/explore.py", "control/stale_nodes.py", "control/wire.py",
-    "daemon/places.py", "engines/keeping.py", "steward/retaining.py",
-    "steward/settings.py", "fleet/shape.py",
+    "daemon/places.py", "engines/keeping.py", "controller/retaining.py",
+    "controller/settings.py", "fleet/shape.py",
     "fleet/script.py", "fleet/model.py", "fleet/judge.py", "fleet/serving.py", "fleet/faulted.py",
-    "fronts/answers.py", "fronts/classify.py", "fronts/auth.py", "fronts/errors.py",
-    "fronts/jsonguard.py", "settings/*.py", "standin/engine.py", "standin/answers.py", "fleet/rules.py",
-    "fleet/traffic.py", "soak/engine_side.py", "day/script.py",
-    "day/bench.py", "capture/codec.py", "capture/segment.py", "capture/snapshot.py", "capture/explain.py",
+    "frontend/answers.py", "frontend/classify.py", "frontend/auth.py", "frontend/errors.py",
+    "frontend/jsonguard.py", "settings/*.py", "emulator/engine.py", "emulator/answers.py", "fleet/rules.py",
+    "fleet/traffic.py", "soak/engine_side.py", "scenario/script.py",
+    "scenario/bench.py", "capture/codec.py", "capture/segment.py", "capture/snapshot.py", "capture/explain.py",
     "capture/compare.py", "capture/index.py", "capture/retention.py", "capture/case.py", "capture/redact.py",
     "capture/journal.py", "manage/framing.py", "manage/datastore.py", "manage/yang.py", "manage/model.py",
     "manage/messages.py", "edge/config.py", "edge/asks.py", "edge/exchange.py", "edge/hosts.py", "edge/budget.py",
@@ -105,7 +115,7 @@
 ]  # fmt: skip
 BANNED = {"asyncio", "socketserver", "http", "urllib", "xmlrpc", "requests", "httpx", "h11", "h2", "grpc"}
 # A helper of the standard library that opens nothing: reading a query string.
-EXCEPTIONS = {("standin/host.py", "urllib.parse")}
+EXCEPTIONS = {("emulator/host.py", "urllib.parse")}
 
 
 def imports(path: Path) -> set[str]:
@@ -147,10 +157,11 @@
 
 def test_the_adapter_loads_nothing_beyond_the_module() -> None:
     code = (
-        "import sys; import stonetrack.drill; print('\\n'.join(n for n in sys.modules if n.startswith('stonetrack')))"
+        "import sys; import stonetrack.simulator_adapter; "
+        "print('\\n'.join(n for n in sys.modules if n.startswith('stonetrack')))"
     )
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout.split()
-    assert set(loaded) == {"stonetrack", "stonetrack.api", "stonetrack.logic", "stonetrack.drill"}
+    assert set(loaded) == {"stonetrack", "stonetrack.api", "stonetrack.logic", "stonetrack.simulator_adapter"}
 
 
 def test_each_package_says_what_it_is_for() -> None:
--- a/tests/test_openai.py
+++ b/tests/test_openai.py
@@ -8,7 +8,7 @@
 import openai
 import pytest
 
-from stonetrack.standin import answers
+from stonetrack.emulator import answers
 from tests.rig import Rig, rig
 
 ASKED = [{"role": "system", "content": "You know all chargers."}, {"role": "user", "content": "Where can I charge?"}]
@@ -99,7 +99,7 @@
 
 
 def test_keys_are_needed_where_settings_say_so() -> None:
-    from stonetrack.fronts.auth import key_hash
+    from stonetrack.frontend.auth import key_hash
 
     with rig(1, 1, settings={"any_key": False, "tenants": [{"name": "t", "key_hashes": [key_hash("right")]}]}) as node:
         with pytest.raises(openai.AuthenticationError) as refused:
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -16,16 +16,16 @@
 import pytest
 
 from stonetrack import api
+from stonetrack.emulator.host import small_fleet
 from stonetrack.engines.attempt import SocketAttempt
 from stonetrack.engines.background_calls import BackgroundCalls
 from stonetrack.fleet.load import Client, Planned, Seen
 from stonetrack.fleet.rules import Judge, Terms, Verdict
 from stonetrack.fleet.traffic import Traffic
-from stonetrack.fronts import chat
-from stonetrack.fronts.chat import ChatWhole
+from stonetrack.frontend import chat
+from stonetrack.frontend.chat import ChatWhole
 from stonetrack.logic import Router
 from stonetrack.node.core import Core
-from stonetrack.standin.host import small_fleet
 from tests.rig import QUICK, Rig, rig, wait_for
 
 TRAFFIC = Traffic(name="chat", deadline_ms=3_000, max_tokens=8)
--- a/tests/test_day.py
+++ b/tests/test_scenario.py
@@ -12,19 +12,19 @@
 import msgspec
 import pytest
 
-from stonetrack.day.bench import BenchError, convert
-from stonetrack.day.run import NOT_JUDGED
-from stonetrack.day.script import Day, load_day, plan
 from stonetrack.fleet import pulse
 from stonetrack.fleet.faulted import faults
 from stonetrack.fleet.load import Seen, schedule
 from stonetrack.fleet.pulse import MachineWaits, Waits
 from stonetrack.fleet.rules import Judge, Kill, Terms
 from stonetrack.fleet.traffic import Traffic
+from stonetrack.scenario.bench import BenchError, convert
+from stonetrack.scenario.run import NOT_JUDGED
+from stonetrack.scenario.script import Day, load_day, plan
 from stonetrack.settings import SettingsError
 
 MS = 1_000_000
-DAY = Path(__file__).parent.parent / "stonetrack" / "day" / "bad-day.jsonnet"
+DAY = Path(__file__).parent.parent / "stonetrack" / "scenario" / "bad-day.jsonnet"
 SAFE, UNSAFE = Traffic(name="safe"), Traffic(name="unsafe", effect="unsafe")
 TERMS = Terms(grace=250 * MS, release_within=500 * MS, slack=100 * MS, order_slack=10 * MS)
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -9,10 +9,10 @@
 from benchmarks.cold import one, settings
 from stonetrack import logic
 from stonetrack.api import Role
+from stonetrack.emulator.engine import Spec
 from stonetrack.fleet.rules import Judge
 from stonetrack.fleet.serving import SECOND, Ask, Play
 from stonetrack.fleet.traffic import Traffic
-from stonetrack.standin.engine import Spec
 
 SPECS = [Spec(name=f"{role[0]}{n}", role=Role(role), warm_ms=4_000) for role in ("reader", "writer") for n in range(3)]
 ASKS = [Ask(n * 20_000_000, f"q{n}", n % 4, 400 + n, f"s{n % 9}", "b", 200) for n in range(200)]
--- a/tests/test_drill.py
+++ b/tests/test_simulator_adapter.py
@@ -10,7 +10,7 @@
 import pytest
 
 from stonetrack import api
-from stonetrack.drill import Drill, render
+from stonetrack.simulator_adapter import SimulatorAdapter, render
 
 PAIRS = [
     "balancers=2",
@@ -65,7 +65,7 @@
 
 def run(text: str) -> list[str]:
     sink = io.StringIO()
-    assert Drill().run(io.StringIO(text), sink) == 0
+    assert SimulatorAdapter().run(io.StringIO(text), sink) == 0
     return sink.getvalue().splitlines()
 
 
@@ -98,9 +98,9 @@
 
 
 def test_settings_and_reports_reach_the_interface() -> None:
-    drill = Drill()
-    drill.run(io.StringIO(batch(1, born(0), *view(0))), io.StringIO())
-    instance = drill.instances[0]
+    adapter = SimulatorAdapter()
+    adapter.run(io.StringIO(batch(1, born(0), *view(0))), io.StringIO())
+    instance = adapter.instances[0]
     settings = instance.router.settings
     assert [k.role for k in settings.kinds] == [api.Role.READER, api.Role.WRITER]
     assert [k.memory_tokens for k in settings.kinds] == [200_000, 100_000]
@@ -126,9 +126,9 @@
     ],
 )
 def test_every_outcome_is_known(how: str, outcome: api.Outcome) -> None:
-    drill = Drill()
-    drill.run(io.StringIO(batch(1, born(0), *view(0))), io.StringIO())
-    event = drill.instances[0].event("RESULT", {"call": "a", "engine": "e", "how": how, "note": "1"})
+    adapter = SimulatorAdapter()
+    adapter.run(io.StringIO(batch(1, born(0), *view(0))), io.StringIO())
+    event = adapter.instances[0].event("RESULT", {"call": "a", "engine": "e", "how": how, "note": "1"})
     assert isinstance(event, api.AttemptEnded)
     assert event.outcome is outcome
     assert event.state_missing is (how == "shed")
@@ -172,9 +172,9 @@
 
 
 def test_outside_a_batch_it_goes_to_standard_error(capsys: pytest.CaptureFixture[str]) -> None:
-    assert Drill().run(io.StringIO("HELLO\tnode=1\n"), io.StringIO()) == 2
+    assert SimulatorAdapter().run(io.StringIO("HELLO\tnode=1\n"), io.StringIO()) == 2
     assert capsys.readouterr().err == "stonetrack: line 1: expected BEGIN_BATCH, found 'HELLO'\n"
-    assert Drill().run(io.StringIO("BEGIN_BATCH\tsim_time_ns=1\tturn=1\n"), io.StringIO()) == 2
+    assert SimulatorAdapter().run(io.StringIO("BEGIN_BATCH\tsim_time_ns=1\tturn=1\n"), io.StringIO()) == 2
     assert "ends inside a batch" in capsys.readouterr().err
 
 
@@ -198,7 +198,7 @@
     text = batch(1, born(0), *view(0)) + "".join(batch(n + 2, line) for n, line in enumerate(knocks))
     replies = {
         subprocess.run(
-            [sys.executable, "-m", "stonetrack.drill"],
+            [sys.executable, "-m", "stonetrack.simulator_adapter"],
             input=text,
             text=True,
             check=True,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,7 +11,7 @@
 import pytest
 from click.testing import CliRunner
 
-from stonetrack.cli.soaking import seeds_of, soak
+from stonetrack.cli.soak import seeds_of, soak
 from stonetrack.fleet.traffic import Clients
 from stonetrack.soak import report
 from stonetrack.soak.faults import Fault, Kind, draw
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from stonetrack.api import ServerEntry, ServerState
-from stonetrack.starting.steps import CONFIRM, FEW, SECOND, Pace, Steps
+from stonetrack.bootstrap.steps import CONFIRM, FEW, SECOND, Pace, Steps
 
 NONE: frozenset[str] = frozenset()
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -244,7 +244,7 @@
 
 def test_a_connection_is_opened_in_place_of_an_idle_one_where_descriptors_are_short() -> None:
     from stonetrack.engines.pool import Pool
-    from stonetrack.fronts.host import listen
+    from stonetrack.frontend.host import listen
 
     listener = listen("127.0.0.1", 0, 8)
     port = listener.getsockname()[1]
@@ -271,7 +271,7 @@
 def test_a_shortage_that_idle_connections_do_not_end_is_told_within_the_time_for_connecting() -> None:
     """All idle connections were given up one after the other, each with its tries, however long that took."""
     from stonetrack.engines.pool import Pool
-    from stonetrack.fronts.host import listen
+    from stonetrack.frontend.host import listen
 
     class NoRoute(System):
         def connect(self, sock: socket.socket, address: tuple[str, int]) -> None:
