--- a/stonetrack/background/__init__.py
+++ b/stonetrack/background/__init__.py
@@ -2,6 +2,6 @@
 
 :mod:`.wheel` holds what is due later, :mod:`.plan` decides what runs next, both without I/O, threads or clocks;
 :mod:`.runner` is the thread that carries it out.
-Comes in: jobs that work in short steps.  Goes out: their steps, in the order and at the pace that the plan gives.
-Must never touch: requests, or the router.
+Inputs: jobs that work in short steps.  Outputs: their steps, in the order and at the pace that the plan gives.
+Must not depend on: requests, or the router.
 """
--- a/stonetrack/cli/__init__.py
+++ b/stonetrack/cli/__init__.py
@@ -1,6 +1,6 @@
 """The command line, by Click: ``stonetrack COMMAND``.
 
-One module a group of commands.  Comes in: arguments and files.  Goes out: exit codes (0 done, 1 a judged failure,
+One module a group of commands.  Inputs: arguments and files.  Outputs: exit codes (0 done, 1 a judged failure,
 2 wrong use or settings) and text for people; ``ready URL`` on its own line where a program waits for it.
-Must never touch: decisions of any kind.
+Must not depend on: decisions of any kind.
 """
--- a/stonetrack/emulator/__init__.py
+++ b/stonetrack/emulator/__init__.py
@@ -2,6 +2,6 @@
 
 :mod:`.engine` is one engine without I/O (queue, slots, memory, kept text, cold start, faults), :mod:`.answers` what it
 says, :mod:`.host` the sockets of all of them with the list service and the control port, :mod:`.tap` the log of what
-passed on each socket.  Comes in: the engines' protocol, faults.  Goes out: answers, trouble, and a log for the judge.
-Must never touch: the node or the router.
+passed on each socket.  Inputs: the engines' protocol, faults.  Outputs: answers, trouble, and a log for the judge.
+Must not depend on: the node or the router.
 """
--- a/stonetrack/engines/__init__.py
+++ b/stonetrack/engines/__init__.py
@@ -2,6 +2,6 @@
 
 Pure: :mod:`.protocol` (requests, and answers into outcomes), :mod:`.load` (reports), :mod:`.listing` (server lists),
 :mod:`.releases` (when to repeat a release).  On sockets: :mod:`.attempt`, :mod:`.pool`, :mod:`.calls`,
-:mod:`.background_calls`, :mod:`.sources`.  Comes in: what the node asks for.  Goes out: attempt events, lists, reports.
-Must never touch: clients, their protocols, or any choice among engines.
+:mod:`.background_calls`, :mod:`.sources`.  Inputs: what the node asks for.  Outputs: attempt events, lists, reports.
+Must not depend on: clients, their protocols, or any choice among engines.
 """
--- a/stonetrack/fleet/__init__.py
+++ b/stonetrack/fleet/__init__.py
@@ -2,7 +2,7 @@
 
 :mod:`.script` says what runs and what breaks, :mod:`.shape` what a link does to bytes, :mod:`.links` the sockets of
 all links, :mod:`.processes` the programs, :mod:`.rig` plays a script, :mod:`.model` plays it without processes,
-:mod:`.judge` reads what passed on the links, :mod:`.page` shows it.  Comes in: a script.  Goes out: a log, a verdict,
+:mod:`.judge` reads what passed on the links, :mod:`.page` shows it.  Inputs: a script.  Outputs: a log, a verdict,
 a page.
-Must never touch: the router's or a machine's decisions; it only runs them.
+Must not depend on: the router's or a machine's decisions; it only runs them.
 """
--- a/stonetrack/manage/__init__.py
+++ b/stonetrack/manage/__init__.py
@@ -2,6 +2,6 @@
 
 :mod:`.framing` is RFC 6242 and :mod:`.datastore` RFC 8342's running, candidate and startup with their locks and
 commits, both without I/O, threads or clocks.
-Comes in: bytes of sessions, edits.  Goes out: messages, versions of the configuration, refusals that name what and
-where. Must never touch: requests, or the router's decisions.
+Inputs: bytes of sessions, edits.  Outputs: messages, versions of the configuration, refusals that name what and
+where. Must not depend on: requests, or the router's decisions.
 """
--- a/stonetrack/node/__init__.py
+++ b/stonetrack/node/__init__.py
@@ -2,6 +2,6 @@
 
 :mod:`.ports` is the seam to fronts and engines, :mod:`.life` one request without I/O, :mod:`.core` the one place
 where events meet the router, :mod:`.drive` the thread that runs one request.
-Comes in: an ``Ask`` from a front, attempt events from engines, server lists.  Goes out: pieces and one final answer.
-Must never touch: HTTP, JSON, the chat API or the engines' protocol.
+Inputs: an ``Ask`` from a front, attempt events from engines, server lists.  Outputs: pieces and one final answer.
+Must not depend on: HTTP, JSON, the chat API or the engines' protocol.
 """
--- a/stonetrack/pages/__init__.py
+++ b/stonetrack/pages/__init__.py
@@ -1,6 +1,6 @@
 """What all report pages share, so that they look alike: style, tables, figures inside the page.
 
-In: rows and matplotlib figures.
-Out: HTML and SVG text.
-Must never touch: what a page is about, files, sockets.
+Inputs: rows and matplotlib figures.
+Outputs: HTML and SVG text.
+Must not depend on: what a page is about, files, sockets.
 """
--- a/stonetrack/settings/__init__.py
+++ b/stonetrack/settings/__init__.py
@@ -1,8 +1,8 @@
 """Settings: a Jsonnet file in, typed and checked values out, or every error at once.
 
 :mod:`.schema` holds the types, :mod:`.check` what a type can't say, :mod:`.load` the evaluation.
-Comes in: a file's path.  Goes out: a ``Node``, or ``SettingsError`` naming path, value and what is allowed.
-Must never touch: sockets, threads, the router's state.
+Inputs: a file's path.  Outputs: a ``Node``, or ``SettingsError`` naming path, value and what is allowed.
+Must not depend on: sockets, threads, the router's state.
 """
 
 from stonetrack.settings.check import SettingsError
--- a/stonetrack/soak/__init__.py
+++ b/stonetrack/soak/__init__.py
@@ -2,6 +2,6 @@
 
 A seed gives the size of a fleet, its traffic and its faults (:mod:`.faults`).  Nodes run as processes (:mod:`.nodes`);
 clients, links and engines are of this package and of ``fleet`` (:mod:`.clients`, :mod:`.platform`).  What passed on the
-sockets is judged (:mod:`.engine_side`, :mod:`.oracle`); nothing is asked of a node.  Comes in: seeds.  Goes out: one
-verdict a seed, and for those that failed a timeline by request id.  Must never touch: anything beyond loopback.
+sockets is judged (:mod:`.engine_side`, :mod:`.oracle`); nothing is asked of a node.  Inputs: seeds.  Outputs: one
+verdict a seed, and for those that failed a timeline by request id.  Must not depend on: anything beyond loopback.
 """
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -167,4 +167,4 @@
 def test_each_package_says_what_it_is_for() -> None:
     for package in ALLOWED:
         text = ast.get_docstring(ast.parse((ROOT / package / "__init__.py").read_text("utf-8"))) or ""
-        assert "Must never touch" in text and len(text.splitlines()) >= 4, package
+        assert "Must not depend on" in text and len(text.splitlines()) >= 4, package
