--- a/stonetrack/control/service.py
+++ b/stonetrack/control/service.py
@@ -34,10 +34,10 @@
 from stonetrack.control.wire import Answer, Report
 from stonetrack.durable import save
 from stonetrack.election.fence import HEADER, NOBODY, Fence, Refused, Token, token_of
-from stonetrack.frontend.connection import Connection, Request
-from stonetrack.frontend.host import Host, plain
-from stonetrack.frontend.refusals import error_body, plain_refusal
-from stonetrack.frontend.waiting import Waiting
+from stonetrack.frontend.connection import Connection, HttpRequest
+from stonetrack.frontend.host import Host, plain_response
+from stonetrack.frontend.long_poll import LongPoll
+from stonetrack.frontend.service_errors import error_body, rejection_response
 from stonetrack.node.drive import Waker
 
 LOOK = 0.2  # seconds from one look at all nodes to the next, at the least
@@ -99,10 +99,10 @@
         self._orders: dict[str, tuple[Order, Evidence]] = {}
         self._kept_orders = given  # on disk
         self._restarts: dict[str, str] = {}  # node: the process that is to start anew
-        self._waiting = Waiting()
+        self._waiting = LongPoll()
         self.answers: Counter[str] = Counter()
         self._done = threading.Event()
-        self.host = Host(listener, settings.limits, settings.timing, self._handle, plain_refusal, log)
+        self.host = Host(listener, settings.limits, settings.timing, self._handle, rejection_response, log)
         self._looker = threading.Thread(target=self._look_on, name="look", daemon=True)
         self._metrics = CollectorRegistry()
         self._metrics.register(_Figures(self))
@@ -154,7 +154,7 @@
                           share=after.share, term=known.term, digest=after.newest.digest)  # fmt: skip
         if after is not before:
             self._look()
-            self._waiting.wake()
+            self._waiting.notify()
         return after
 
     def _keep(self, history: History, owner: Token, nodes: dict[str, Node]) -> None:
@@ -214,7 +214,7 @@
                               order=order.value, wanted=wanted[name][0], runs=self.nodes[name].running,
                               why=self.nodes[name].why)  # fmt: skip
         if changed:
-            self._waiting.wake()
+            self._waiting.notify()
 
     def _look_on(self) -> None:
         while not self._done.wait(max(LOOK, len(self.nodes) / LOOKED_AT)):
@@ -238,14 +238,14 @@
         )  # fmt: skip
         return made, lags or restart
 
-    def _handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def _handle(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         head = request.head
         keep = head.keep_alive and not self._waiting.stopping
         if head.path == "/node" and head.method == "POST":
             return self._node(connection, request, waker, keep)
         status, body = self._call(head.method, head.path, request.body, head.headers.get(HEADER.lower()))
         kind = "text/plain; version=0.0.4" if head.path == "/metrics" else "application/json"
-        connection.write(plain(status, body, (), kind, keep))
+        connection.write(plain_response(status, body, (), kind, keep))
         return keep
 
     def _call(self, method: str, path: str, data: bytes, owner: str) -> tuple[int, bytes]:
@@ -294,23 +294,23 @@
             return 500, error_body(f"the version can't be kept: {error}")
         return 200, msgspec.json.encode({"number": after.newest.number, "base": after.base, "staged": after.candidate})
 
-    def _node(self, connection: Connection, request: Request, waker: Waker, keep: bool) -> bool:
+    def _node(self, connection: Connection, request: HttpRequest, waker: Waker, keep: bool) -> bool:
         try:
             report = msgspec.json.decode(request.body, type=Report)
         except msgspec.DecodeError as error:
-            connection.write(plain(400, error_body(str(error)), keep=keep))
+            connection.write(plain_response(400, error_body(str(error)), keep=keep))
             return keep
         self.heard(report)
         wait = min(report.wait_ms, int(self.settings.wait_s * 1_000))
         first, urgent = self.answer(report)
         answer = first
         if wait > 0 and not urgent:
-            there = self._waiting.poll(connection, waker, wait, lambda: self._changed(report, first))
+            there = self._waiting.wait(connection, waker, wait, lambda: self._changed(report, first))
             if not there:
                 return False
             answer, _ = self.answer(report)
         self.answers["documents" if answer.document is not None else "permits"] += 1
-        connection.write(plain(200, msgspec.json.encode(answer), keep=keep))
+        connection.write(plain_response(200, msgspec.json.encode(answer), keep=keep))
         return keep
 
     def _changed(self, report: Report, first: Answer) -> bool:
--- a/stonetrack/controller/service.py
+++ b/stonetrack/controller/service.py
@@ -38,9 +38,9 @@
 from stonetrack.controller.settings import Steward as Settings
 from stonetrack.election.fence import Refused, Token
 from stonetrack.election.lease import Lease, Look, Outcome, Record, Rest, Stage, Swap, Terms
-from stonetrack.frontend.connection import Connection, Request
-from stonetrack.frontend.host import Host, plain
-from stonetrack.frontend.refusals import error_body, plain_refusal
+from stonetrack.frontend.connection import Connection, HttpRequest
+from stonetrack.frontend.host import Host, plain_response
+from stonetrack.frontend.service_errors import error_body, rejection_response
 
 Log = Callable[..., None]
 SECOND = 1_000_000_000
@@ -351,7 +351,7 @@
     def __init__(self, steward: Steward, listener: socket, log: Log) -> None:
         self._steward = steward
         settings = steward.settings
-        self._host = Host(listener, settings.limits, settings.timing, self._handle, plain_refusal, log)
+        self._host = Host(listener, settings.limits, settings.timing, self._handle, rejection_response, log)
         self._metrics = CollectorRegistry()
         self._metrics.register(_Figures(steward))
 
@@ -364,16 +364,16 @@
         self._host.drain()
         self._host.stop()
 
-    def _handle(self, connection: Connection, request: Request, waker: Any) -> bool:
+    def _handle(self, connection: Connection, request: HttpRequest, waker: Any) -> bool:
         head = request.head
         if head.method == "GET" and head.path == "/health":
-            connection.write(plain(200, msgspec.json.encode(self._steward.health()), keep=head.keep_alive))
+            connection.write(plain_response(200, msgspec.json.encode(self._steward.health()), keep=head.keep_alive))
         elif head.method == "GET" and head.path == "/metrics":
             body = generate_latest(self._metrics)
-            connection.write(plain(200, body, (), "text/plain; version=0.0.4", head.keep_alive))
+            connection.write(plain_response(200, body, (), "text/plain; version=0.0.4", head.keep_alive))
         else:
             body = error_body("served here: GET /health, /metrics")
-            connection.write(plain(404, body, keep=head.keep_alive))
+            connection.write(plain_response(404, body, keep=head.keep_alive))
         return head.keep_alive
 
 
--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -44,11 +44,11 @@
 from stonetrack.engines.hints import Hints, good_at_of
 from stonetrack.engines.listing import Engine, Line, Listing
 from stonetrack.engines.sources import ListSource
-from stonetrack.frontend.app import App, refusal
+from stonetrack.frontend.app import App, rejection_response
 from stonetrack.frontend.classify import hash_key
 from stonetrack.frontend.errors import ApiError
 from stonetrack.frontend.host import Host
-from stonetrack.frontend.service import Record
+from stonetrack.frontend.instance_service import RequestRecord
 from stonetrack.logic import Router
 from stonetrack.node.core import Core, Decider
 from stonetrack.node.drive import Bounds, Drive, Waker
@@ -283,7 +283,7 @@
         self.meters = self._make_meters(settings)
         self._source = self._follow(settings)
         self.app = App(self)
-        self.host = Host(listener, settings.limits, settings.timing, self.app.handle, refusal, self._warn)
+        self.host = Host(listener, settings.limits, settings.timing, self.app.handle, rejection_response, self._warn)
 
     # Putting together.
 
@@ -415,7 +415,7 @@
             self._keeper.stop()
         self._log.info("stopped", instance=self.name)
 
-    # For the fronts (``service.Service``).
+    # For the fronts (``instance_service.InstanceService``).
 
     @property
     def settings(self) -> Node:
@@ -462,7 +462,7 @@
             "requests": self.open_requests,
         }
 
-    def account(self, name: str, after: int) -> tuple[bytes, bool]:
+    def audit_lines(self, name: str, after: int) -> tuple[bytes, bool]:
         """Lines of an account that is kept in this node's folder, after a number, and whether there are more."""
         folder = audit_folder(self.settings)
         return told(folder, name, after) if name in names(folder) else (b"", False)
@@ -471,23 +471,23 @@
         """The metrics page."""
         return self.meters.page()
 
-    def record(self, record: Record) -> None:
+    def record(self, record: RequestRecord) -> None:
         """Count a request and log it."""
         self.meters.note(record)
-        if record.ended not in ("gone", "rejected"):
+        if record.outcome not in ("gone", "rejected"):
             self._asked += 1
-            self._served += record.ended == "served"
+            self._served += record.outcome == "served"
         self._log.info(
             "request",
             instance=self.name,
-            front=record.front,
+            front=record.frontend,
             request=record.request,
             cls=record.class_name,
             tenant=record.tenant_name,
             status=record.status,
-            ended=record.ended,
-            ms=round(record.took / 1e6, 2),
-            first_ms=round(record.first / 1e6, 2) if record.first >= 0 else None,
+            ended=record.outcome,
+            ms=round(record.duration / 1e6, 2),
+            first_ms=round(record.time_to_first_token / 1e6, 2) if record.time_to_first_token >= 0 else None,
             attempts=record.attempts,
         )
 
@@ -521,7 +521,7 @@
         yield meters.gauge("release_engines_away", "Engines that releases wait for", background.engines_away)
         yield meters.gauge("dropped_releases", "Releases given up, of what stays held", background.dropped_releases)
         yield meters.counts(
-            "refused_clients", "Clients refused before a request was taken", "why", {"limits": self.host.refused}
+            "refused_clients", "Clients refused before a request was taken", "why", {"limits": self.host.rejected}
         )
         yield meters.counts(
             "engine_connections", "Connections to engines", "how", {"opened": pool.opened, "reused": pool.reused}
--- a/stonetrack/daemon/meters.py
+++ b/stonetrack/daemon/meters.py
@@ -10,7 +10,7 @@
 from prometheus_client.metrics_core import Metric
 from prometheus_client.registry import Collector
 
-from stonetrack.frontend.service import Record
+from stonetrack.frontend.instance_service import RequestRecord
 
 SECOND = 1e9
 OTHER = "other"  # a class or tenant that the settings no longer have
@@ -63,21 +63,21 @@
         self._children.clear()
         self._classes, self._tenants = frozenset(classes), frozenset(tenants)
 
-    def note(self, record: Record) -> None:
+    def note(self, record: RequestRecord) -> None:
         """Count one request; one that came under settings that lack its class or tenant now counts as ``OTHER``."""
-        key = (record.front, record.class_name, record.tenant_name, record.ended)
+        key = (record.frontend, record.class_name, record.tenant_name, record.outcome)
         if (found := self._children.get(key)) is None:  # looking labels up anew costs more than counting
             name = record.class_name if record.class_name in self._classes else OTHER
             tenant = record.tenant_name if record.tenant_name in self._tenants | {""} else OTHER
-            found = (self.requests.labels(record.front, name, tenant, record.ended), self.attempts.labels(name),
+            found = (self.requests.labels(record.frontend, name, tenant, record.outcome), self.attempts.labels(name),
                      self.took.labels(name), self.first.labels(name))  # fmt: skip
             self._children[key] = found
         requests, attempts, took, first = found
         requests.inc()
         attempts.inc(record.attempts)
-        took.observe(record.took / SECOND)
-        if record.first >= 0:
-            first.observe(record.first / SECOND)
+        took.observe(record.duration / SECOND)
+        if record.time_to_first_token >= 0:
+            first.observe(record.time_to_first_token / SECOND)
 
     def page(self) -> tuple[bytes, str]:
         """The metrics page and its content type."""
--- a/stonetrack/discovery/service.py
+++ b/stonetrack/discovery/service.py
@@ -37,10 +37,10 @@
 from stonetrack.engines import listing
 from stonetrack.engines.listing import ListError, split_address
 from stonetrack.engines.sources import stamp
-from stonetrack.frontend.connection import Connection, Request
-from stonetrack.frontend.host import Host, plain
-from stonetrack.frontend.refusals import error_body, plain_refusal
-from stonetrack.frontend.waiting import Waiting
+from stonetrack.frontend.connection import Connection, HttpRequest
+from stonetrack.frontend.host import Host, plain_response
+from stonetrack.frontend.long_poll import LongPoll
+from stonetrack.frontend.service_errors import error_body, rejection_response
 from stonetrack.node.drive import Waker
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -77,13 +77,13 @@
         self._keep(self.history.origin, self.history.version, self.history.lines)
         self._turns = Turns(settings.lists_per_second, settings.waiting)
         self._lock = threading.Lock()
-        self._waiting = Waiting()
+        self._waiting = LongPoll()
         self._done = threading.Event()
         self._seen: tuple[int, int, int] | None = None
         self._trouble = ""
         self.answers: Counter[str] = Counter()
         self.bytes_out = 0
-        self.host = Host(listener, settings.limits, settings.timing, self._handle, plain_refusal, self._warn)
+        self.host = Host(listener, settings.limits, settings.timing, self._handle, rejection_response, self._warn)
         self._watcher = threading.Thread(target=self._watch, name="file", daemon=True)
         self._metrics = CollectorRegistry()
         self._metrics.register(_Figures(self))
@@ -133,7 +133,7 @@
         if changed:
             self._log("version", version=self.history.version, changed=changed, engines=len(self.history.lines))
         if changed or not given:
-            self._waiting.wake()
+            self._waiting.notify()
         return changed
 
     def _leaving(self) -> list[str]:
@@ -166,7 +166,7 @@
 
     # Answers.
 
-    def _handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def _handle(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         head = request.head
         keep_alive = head.keep_alive and not self._waiting.stopping
         if head.path == PATH and head.method == "GET":
@@ -176,13 +176,15 @@
         elif head.path == "/health" and head.method == "GET":
             status, body = (503 if self._waiting.stopping else 200), msgspec.json.encode(self._health())
         elif head.path == "/metrics" and head.method == "GET":
-            connection.write(plain(200, generate_latest(self._metrics), (), "text/plain; version=0.0.4", keep_alive))
+            connection.write(
+                plain_response(200, generate_latest(self._metrics), (), "text/plain; version=0.0.4", keep_alive)
+            )
             return keep_alive
         elif head.path in (PATH, "/health", "/metrics"):
             status, body = 405, error_body(f"method {head.method[:20]} is not allowed here")
         else:
             status, body = 404, error_body("served here: /engines, /health, /metrics")
-        connection.write(plain(status, body, keep=keep_alive))
+        connection.write(plain_response(status, body, keep=keep_alive))
         return keep_alive
 
     def _take(self, whole: bool, data: bytes, owner: str) -> tuple[int, bytes]:
@@ -198,28 +200,30 @@
             return 500, error_body(f"the list can't be kept: {error}")
         return 200, msgspec.json.encode({"origin": self.history.origin, "version": self.history.version})
 
-    def _engines(self, connection: Connection, request: Request, waker: Waker, keep_alive: bool) -> bool:
+    def _engines(self, connection: Connection, request: HttpRequest, waker: Waker, keep_alive: bool) -> bool:
         asked = _query(request.head.query)
         try:
             after, wait = int(asked.get("after", "-1")), int(asked.get("wait_ms", "0"))
         except ValueError:
-            connection.write(plain(400, error_body("after and wait_ms: whole numbers are allowed"), keep=keep_alive))
+            connection.write(
+                plain_response(400, error_body("after and wait_ms: whole numbers are allowed"), keep=keep_alive)
+            )
             return keep_alive
         origin, node = asked.get("origin", ""), request.head.headers.get("x-stonetrack-instance")
         wait = max(0, min(wait, self.settings.longest_wait_ms))
         quiet = wait and not self._tells(after, origin)
-        if quiet and not self._waiting.poll(connection, waker, wait, lambda: self._tells(after, origin)):
+        if quiet and not self._waiting.wait(connection, waker, wait, lambda: self._tells(after, origin)):
             return False  # it left
         if not self._given:
             self.answers["no list"] += 1
             body = msgspec.json.encode({"error": "no list was given yet", "origin": self.history.origin,
                                         "version": self.history.version})  # fmt: skip
-            connection.write(plain(503, body, (("Retry-After", "1"),), keep=keep_alive))
+            connection.write(plain_response(503, body, (("Retry-After", "1"),), keep=keep_alive))
             return keep_alive
         news = self._news(after, origin)
         if news is None:
             self.answers["unchanged"] += 1
-            connection.write(plain(204, b"", keep=keep_alive))
+            connection.write(plain_response(204, b"", keep=keep_alive))
             return keep_alive
         return self._in_turn(connection, waker, (after, origin, node), news, wait * MS, keep_alive)
 
@@ -232,16 +236,16 @@
         if isinstance(turn, ComeAgain):
             self.answers["turned away"] += 1
             fields = (("Retry-After", str(turn.after)),)
-            connection.write(plain(503, error_body("too many ask at once"), fields, keep=keep_alive))
+            connection.write(plain_response(503, error_body("too many ask at once"), fields, keep=keep_alive))
             return keep_alive
         try:
             wait = (turn.at - time.monotonic_ns()) / MS
-            if wait > 0 and not self._waiting.poll(connection, waker, wait, lambda: False):
+            if wait > 0 and not self._waiting.wait(connection, waker, wait, lambda: False):
                 return False
             news = self._news(after, origin) or news  # what there is now
             self.answers["whole" if news.whole else "changes"] += 1
             self.bytes_out += len(news.body)
-            connection.write(plain(200, news.body, keep=keep_alive))
+            connection.write(plain_response(200, news.body, keep=keep_alive))
         finally:
             with self._lock:
                 self._turns.done(node)
@@ -286,7 +290,7 @@
         """See ``prometheus_client.registry.Collector``."""
         service = self._service
         counts = CounterMetricFamily("stonetrack_lists_answers", "Answers, by what they were", labels=["what"])
-        for what, count in [*service.answers.items(), ("left", service._waiting.left)]:
+        for what, count in [*service.answers.items(), ("left", service._waiting.clients_gone)]:
             counts.add_metric([what], count)
         yield counts
         yield CounterMetricFamily("stonetrack_lists_bytes", "Bytes of lists sent", value=service.bytes_out)
--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -35,7 +35,7 @@
 from stonetrack.edge.sink import EdgeSink, whole
 from stonetrack.edge.watch import Watch
 from stonetrack.engines.pool import Pool
-from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.connection import Connection, HttpRequest
 from stonetrack.frontend.host import Host, listen
 from stonetrack.node.core import Core
 from stonetrack.node.drive import Bounds, Drive, Waker
@@ -189,7 +189,7 @@
 
     # Requests.
 
-    def handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def handle(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         """Serve one request; whether the connection may be kept."""
         head = request.head
         sink = EdgeSink(connection, request)
@@ -255,16 +255,16 @@
         """Serve what was taken to its end; signals that come meanwhile change nothing."""
         told = time.monotonic()
         self._last_call = time.monotonic_ns() + int(COMING * SECOND)
-        self.host.leave()
+        self.host.close_after_responses()
         time.sleep(COMING)
-        self.host.drain(sweep=True)
+        self.host.drain(accept_queued=True)
         while self.core.open_requests:
             time.sleep(0.02)
         # What still comes is read and answered meanwhile: a sealed host would leave it to the end of the process.
         until = max(told + self._time_to_end(), time.monotonic() + LAST_RELEASES)
         while (self.leases.open or len(self.abandoned)) and time.monotonic() < until:
             time.sleep(0.02)
-        while self.core.open_requests or not self.host.seal():
+        while self.core.open_requests or not self.host.stop_reading_if_idle():
             time.sleep(0.02)
         self.leases.wait(1.0)
 
--- a/stonetrack/edge/sink.py
+++ b/stonetrack/edge/sink.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from stonetrack.frontend.connection import Connection, Request
-from stonetrack.frontend.host import plain
-from stonetrack.frontend.writing import ConnectionSink
+from stonetrack.frontend.connection import Connection, HttpRequest
+from stonetrack.frontend.connection_sink import ConnectionSink
+from stonetrack.frontend.host import plain_response
 from stonetrack.node import ports
 from stonetrack.wire import writer
 
@@ -21,7 +21,7 @@
 
 def whole(status: int, text: str, headers: tuple[tuple[str, str], ...] = (), keep: bool = False) -> bytes:
     """One whole answer in plain text; the connection closes after it unless kept."""
-    return plain(status, f"{text}\n".encode(), headers, "text/plain; charset=utf-8", keep)
+    return plain_response(status, f"{text}\n".encode(), headers, "text/plain; charset=utf-8", keep)
 
 
 class EdgeSink(ConnectionSink):
@@ -29,7 +29,7 @@
 
     __slots__ = ("_head", "ended", "keep", "request")
 
-    def __init__(self, connection: Connection, request: Request) -> None:
+    def __init__(self, connection: Connection, request: HttpRequest) -> None:
         super().__init__(connection)
         self.request = request
         self.keep = request.head.keep_alive
@@ -38,7 +38,7 @@
 
     def begin(self) -> None:
         """The answer begins; its head leaves with the first event."""
-        self.keep = self.keep and not self.connection.last and self.request.head.chunks
+        self.keep = self.keep and not self.connection.closes_after_response and self.request.head.chunks
         fields = [("Content-Type", "text/event-stream"), *(() if self.keep else (("Connection", "close"),))]
         head = writer.streamed if self.request.head.chunks else writer.response_until_close
         self._head = head(200, fields)
@@ -71,6 +71,6 @@
 
     def respond(self, status: int, text: str, headers: tuple[tuple[str, str], ...] = ()) -> bool:
         """One whole answer; whether the connection may be kept."""
-        self.keep = self.keep and not self.connection.last
+        self.keep = self.keep and not self.connection.closes_after_response
         self.connection.write(whole(status, text, headers, self.keep))
         return self.keep
--- a/stonetrack/emulator/etcd.py
+++ b/stonetrack/emulator/etcd.py
@@ -26,8 +26,8 @@
 import msgspec
 
 from stonetrack.durable import save
-from stonetrack.frontend.connection import Connection, Request
-from stonetrack.frontend.host import Host, plain
+from stonetrack.frontend.connection import Connection, HttpRequest
+from stonetrack.frontend.host import Host, plain_response
 from stonetrack.settings.schema import Limits, Timing
 
 FAULTS = ("slow", "late", "lost", "no_leader", "forget", "compact")
@@ -115,7 +115,7 @@
 
 
 def _refusal(status: int, why: str) -> bytes:
-    return plain(status, msgspec.json.encode({"message": why}), keep=False)
+    return plain_response(status, msgspec.json.encode({"message": why}), keep=False)
 
 
 class Gateway:
@@ -156,7 +156,7 @@
         until, ms = self._faults.get(fault, (0.0, 0.0))
         return ms if time.monotonic() < until else None
 
-    def _handle(self, connection: Connection, request: Request, waker: Any) -> bool:
+    def _handle(self, connection: Connection, request: HttpRequest, waker: Any) -> bool:
         head = request.head
         self.calls += 1
         try:
@@ -166,7 +166,9 @@
             if (ms := self._in_force("slow")) is not None:
                 time.sleep(ms / 1_000.0)
             if self._in_force("no_leader") is not None:
-                connection.write(plain(503, msgspec.json.encode({"message": "etcdserver: no leader", "code": 14})))
+                connection.write(
+                    plain_response(503, msgspec.json.encode({"message": "etcdserver: no leader", "code": 14}))
+                )
                 return True
             if head.path == "/v3/watch":
                 return self._watch(connection, body["create_request"])
@@ -181,9 +183,9 @@
                 return False
             if writes and (ms := self._in_force("late")) is not None:
                 time.sleep(ms / 1_000.0)
-            connection.write(plain(200, msgspec.json.encode(told)))
+            connection.write(plain_response(200, msgspec.json.encode(told)))
         except (Bad, msgspec.DecodeError, KeyError, ValueError, AttributeError) as error:
-            connection.write(plain(400, msgspec.json.encode({"message": str(error), "code": 3})))
+            connection.write(plain_response(400, msgspec.json.encode({"message": str(error), "code": 3})))
         return True
 
     def _range(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
@@ -225,5 +227,5 @@
                 until = time.monotonic() + float(body.get("for_ms", 1_000.0)) / 1_000.0
                 self._faults[fault] = (until, float(body.get("ms", 0.0)))
             self._changed.notify_all()
-        connection.write(plain(200, b"{}"))
+        connection.write(plain_response(200, b"{}"))
         return True
--- a/stonetrack/frontend/admission.py
+++ b/stonetrack/frontend/admission.py
@@ -7,9 +7,9 @@
 
 from stonetrack.api import Effect
 from stonetrack.frontend import auth, classify
-from stonetrack.frontend.connection import Request
+from stonetrack.frontend.connection import HttpRequest
 from stonetrack.frontend.errors import ApiError
-from stonetrack.frontend.service import Record, Service
+from stonetrack.frontend.instance_service import InstanceService, RequestRecord
 from stonetrack.frontend.sinks import HttpSink
 from stonetrack.node import ports
 from stonetrack.node.drive import Waker
@@ -17,7 +17,7 @@
 from stonetrack.wire.http1 import Headers
 
 
-class Asked(Protocol):
+class ParsedRequest(Protocol):
     """What is needed of a front's parsed request."""
 
     @property
@@ -44,7 +44,7 @@
 class Admission:
     """What every front does with a request before the node has it: key, model, class, time left."""
 
-    def __init__(self, service: Service, estimator: classify.Estimator | None = None) -> None:
+    def __init__(self, service: InstanceService, estimator: classify.Estimator | None = None) -> None:
         self.service = service
         self.estimator = estimator or classify.ByteEstimator()
         self._keyed: tuple[Node, bytes] = (service.settings, classify.hash_key(service.settings))
@@ -73,7 +73,13 @@
         raise ApiError(404, f"the model {name[:100]!r} does not exist", param="model", code="model_not_found")
 
     def ask(
-        self, request_id: str, request: Request, tenant: int, parsed: Asked, body: dict[str, Any], whole: bool
+        self,
+        request_id: str,
+        request: HttpRequest,
+        tenant: int,
+        parsed: ParsedRequest,
+        body: dict[str, Any],
+        whole: bool,
     ) -> ports.Ask:
         """The node's view of a chat; ``body`` is what the engines are sent.  Raises ApiError."""
         settings, headers = self.service.settings, request.head.headers
@@ -81,7 +87,7 @@
         if of is not settings:
             hash_key = classify.hash_key(settings)
             self._keyed = settings, hash_key
-        shape = classify.shape(body["messages"], body.get("tools"), parsed.model, self.estimator, hash_key)
+        shape = classify.describe_prompt(body["messages"], body.get("tools"), parsed.model, self.estimator, hash_key)
         class_index = classify.class_of(settings, parsed.model, headers, shape.prompt_tokens)
         try:
             left = classify.time_left(settings, class_index, headers, time.monotonic_ns() - request.arrived)
@@ -101,7 +107,7 @@
             left,
             max(shape.prompt_tokens, 1),
             body,
-            shape.shared_beginning,
+            shape.shared_prefix,
             shape.shared_tokens,
             parsed.max_completion_tokens or parsed.max_tokens or 0,
             tenant,
@@ -117,7 +123,7 @@
         now = time.monotonic_ns()
         under: Node = ask.under or self.service.settings
         self.service.record(
-            Record(
+            RequestRecord(
                 front,
                 ask.request,
                 under.classes[ask.class_index].name,
--- a/stonetrack/frontend/app.py
+++ b/stonetrack/frontend/app.py
@@ -6,33 +6,33 @@
 
 from stonetrack.frontend.admission import Admission
 from stonetrack.frontend.chat import Chat
-from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.connection import Connection, HttpRequest
 from stonetrack.frontend.errors import ApiError
-from stonetrack.frontend.host import plain
+from stonetrack.frontend.host import plain_response
+from stonetrack.frontend.instance_service import InstanceService
 from stonetrack.frontend.kserve import PREFIX, KServe
-from stonetrack.frontend.service import Service
 from stonetrack.node.drive import Waker
 
 _encode = msgspec.json.Encoder().encode
 
 
-def refusal(status: int, why: str) -> bytes:
+def rejection_response(status: int, why: str) -> bytes:
     """The whole response for a client that is turned away; the connection closes after it."""
     error = ApiError(status, why, "server_error" if status >= 500 else "invalid_request_error")
     headers = (("Retry-After", "1"),) if status == 503 else ()
-    return plain(status, _encode(error.body()), headers, keep=False)
+    return plain_response(status, _encode(error.body()), headers, keep=False)
 
 
 class App:
     """Routes requests to the fronts."""
 
-    def __init__(self, service: Service) -> None:
+    def __init__(self, service: InstanceService) -> None:
         admission = Admission(service)
         self.service = service
         self.chat = Chat(admission)
         self.kserve = KServe(admission)
 
-    def handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def handle(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         """Answer one request; whether the connection may be kept.  Raises ClientLost."""
         head = request.head
         try:
@@ -40,11 +40,13 @@
         except ApiError as error:
             keep = head.keep_alive
             connection.write(
-                plain(error.status, _encode(error.body()), error.headers, keep=keep, head_only=head.method == "HEAD")
+                plain_response(
+                    error.status, _encode(error.body()), error.headers, keep=keep, head_only=head.method == "HEAD"
+                )
             )
             return keep
 
-    def _route(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def _route(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         head = request.head
         path = head.path
         if path == "/v1/chat/completions":
@@ -73,17 +75,17 @@
                 headers=(("Allow", ", ".join(allowed)),),
             )
 
-    def _audit(self, connection: Connection, request: Request) -> bool:
+    def _audit(self, connection: Connection, request: HttpRequest) -> bool:
         asked = dict(pair.partition("=")[::2] for pair in request.head.query.split("&") if pair)
         after = asked.get("after", "-1")
         if not after.lstrip("-").isdigit() or not asked.get("of"):
             raise ApiError(400, "of=NAME&after=NUMBER is allowed", code="bad_query")
-        body, more = self.service.account(asked["of"], int(after))
+        body, more = self.service.audit_lines(asked["of"], int(after))
         fields = (("X-Stonetrack-More", "1"),) if more else ()
-        connection.write(plain(200, body, fields, "application/jsonl", keep=request.head.keep_alive))
+        connection.write(plain_response(200, body, fields, "application/jsonl", keep=request.head.keep_alive))
         return request.head.keep_alive
 
-    def _own(self, connection: Connection, request: Request) -> bool:
+    def _own(self, connection: Connection, request: HttpRequest) -> bool:
         head = request.head
         if head.path == "/metrics":
             status, (body, kind) = 200, self.service.metrics()
@@ -91,7 +93,7 @@
             healthy, told = self.service.health()
             status, body, kind = (200 if healthy else 503), _encode(told), "application/json"
         connection.write(
-            plain(
+            plain_response(
                 status,
                 body,
                 (("X-Stonetrack-Instance", self.service.name),),
--- a/stonetrack/frontend/chat.py
+++ b/stonetrack/frontend/chat.py
@@ -12,12 +12,12 @@
 import msgspec
 from msgspec import Meta
 
-from stonetrack.frontend import jsonguard
+from stonetrack.frontend import json_limits
 from stonetrack.frontend.admission import Admission
 from stonetrack.frontend.answers import Chunks, Whole
-from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.connection import Connection, HttpRequest
 from stonetrack.frontend.errors import ApiError
-from stonetrack.frontend.host import plain
+from stonetrack.frontend.host import plain_response
 from stonetrack.frontend.sinks import EventSink, HttpSink, WholeSink
 from stonetrack.node import ports
 from stonetrack.node.drive import Waker
@@ -69,9 +69,9 @@
 def decode(body: bytes, depth: int, values: int) -> dict[str, Any]:
     """The body as an object.  Raises ApiError."""
     try:
-        jsonguard.check(body, depth, values)
+        json_limits.check(body, depth, values)
         raw = msgspec.json.decode(body)
-    except jsonguard.TooComplex as error:
+    except json_limits.TooComplex as error:
         raise ApiError(400, str(error), code="too_complex") from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ApiError(400, f"the body is no JSON: {error}", code="invalid_json") from None
@@ -98,7 +98,7 @@
     return message.rpartition("field `")[2].rstrip("`") if "missing required field" in message else ""
 
 
-def new_id(prefix: str) -> str:
+def new_request_id(prefix: str) -> str:
     """A fresh request id."""
     return prefix + os.urandom(12).hex()
 
@@ -145,14 +145,14 @@
         self.admission = admission
         self.service = admission.service
 
-    def completions(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def completions(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         """``POST /v1/chat/completions``.  Raises ApiError."""
         arrived, limits = request.arrived, self.service.settings.limits
         tenant = self.admission.tenant(request.head.headers)
         raw = decode(request.body, limits.json_depth, limits.json_values)
         parsed = parse(raw)
         raw["model"] = self.admission.engine_model(parsed.model)
-        request_id = new_id("chatcmpl-")
+        request_id = new_request_id("chatcmpl-")
         ask = self.admission.ask(request_id, request, tenant, parsed, raw, not parsed.stream)
         headers, flags = self.admission.headers(request_id), self.admission.flags(ask)
         created = self.service.clock() // 1_000_000_000
@@ -168,7 +168,7 @@
             sink = whole
         return self.admission.run(self.name, ask, sink, waker, arrived)
 
-    def models(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def models(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         """``GET /v1/models`` and ``GET /v1/models/NAME``.  Raises ApiError."""
         self.admission.tenant(request.head.headers)
         listed = [
@@ -182,6 +182,6 @@
         else:
             body = {"object": "list", "data": listed}
         connection.write(
-            plain(200, _encode(body), keep=request.head.keep_alive, head_only=request.head.method == "HEAD")
+            plain_response(200, _encode(body), keep=request.head.keep_alive, head_only=request.head.method == "HEAD")
         )
         return request.head.keep_alive
--- a/stonetrack/frontend/classify.py
+++ b/stonetrack/frontend/classify.py
@@ -43,11 +43,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class PromptShape:
     """A prompt as the router sees it, lengths in tokens."""
 
     prompt_tokens: int
-    shared_beginning: str | None
+    shared_prefix: str | None
     shared_tokens: int
 
 
@@ -68,9 +68,9 @@
     return hashlib.blake2b(settings.hash_key.encode() or told, digest_size=32).digest()
 
 
-def shape(
+def describe_prompt(
     messages: Sequence[dict[str, Any]], tools: object, model: str, estimator: Estimator, key: bytes = b""
-) -> Shape:
+) -> PromptShape:
     """Length and shared beginning of a chat (leading system and developer messages, and tools), as a keyed hash."""
     digest = hashlib.blake2b(model.encode("utf-8", "surrogatepass"), key=key, digest_size=16)
     encode = msgspec.json.encode
@@ -89,8 +89,8 @@
             any_leading = True
         total += tokens
     if not any_leading:
-        return Shape(total, None, 0)
-    return Shape(total, digest.hexdigest(), shared)
+        return PromptShape(total, None, 0)
+    return PromptShape(total, digest.hexdigest(), shared)
 
 
 def class_of(settings: Node, model: str, headers: Headers, prompt_tokens: int) -> int:
--- a/stonetrack/frontend/connection.py
+++ b/stonetrack/frontend/connection.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Request:
+class HttpRequest:
     """One whole request; ``arrived`` is the monotonic time in nanoseconds at which its head was there."""
 
     head: http1.RequestHead
@@ -77,7 +77,7 @@
         """The socket's descriptor, -1 once closed."""
         return -1 if self.closed else self.sock.fileno()
 
-    def take(self, data: bytes) -> Request | None:
+    def feed(self, data: bytes) -> HttpRequest | None:
         """Feed what came; a whole request if it completes one.  Raises ProtocolError."""
         now = time.monotonic_ns()
         if data and not self.begun_at:
@@ -91,7 +91,7 @@
                 self._body.append(event.data)
                 self.held += len(event.data)
             elif isinstance(event, http1.End) and self._head is not None:
-                request = Request(self._head, b"".join(self._body), self._head_at)
+                request = HttpRequest(self._head, b"".join(self._body), self._head_at)
                 self._head, self._body, self.begun_at, self.held = None, [], 0, 0
                 self.served += 1
                 self.answering = False
@@ -101,7 +101,7 @@
         return None
 
     @property
-    def last(self) -> bool:
+    def closes_after_response(self) -> bool:
         """Whether the answer under way is to be the connection's last: the instance is about to stop, and nothing that
         was read waits behind the request."""
         return (self.state.leaving or self.state.draining) and self.reader.idle
--- a/stonetrack/frontend/host.py
+++ b/stonetrack/frontend/host.py
@@ -27,7 +27,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from stonetrack.frontend.connection import Connection, HostState, Request
+from stonetrack.frontend.connection import Connection, HostState, HttpRequest
 from stonetrack.node import sockets
 from stonetrack.node.drive import Waker
 from stonetrack.node.ports import ClientLost
@@ -50,7 +50,7 @@
 _ROOM = 20  # times 5 ms that a new client waits for room
 _SWEEP = 1.0  # seconds in which the listening socket is emptied at a drain
 
-Handler = Callable[[Connection, Request, Waker], bool]  # whether the connection may be kept
+Handler = Callable[[Connection, HttpRequest, Waker], bool]  # whether the connection may be kept
 
 
 class Host:
@@ -78,11 +78,11 @@
         self._back = Waker()
         self._epoll.register(self._back.fd, select.EPOLLIN)
         self._lock = threading.Lock()
-        self._jobs: queue.SimpleQueue[tuple[Connection, Request] | None] = queue.SimpleQueue()
+        self._jobs: queue.SimpleQueue[tuple[Connection, HttpRequest] | None] = queue.SimpleQueue()
         self._free = 0  # workers waiting for a job
         self.workers = 0
         self.connections = 0
-        self.refused = 0
+        self.rejected = 0
         self._held = 0  # bytes of bodies not yet whole
         self.state = HostState()
         self._moving = False  # the parking thread reads, or moves connections between its places
@@ -103,22 +103,22 @@
         self._accepted.start()
         self._parking.start()
 
-    def leave(self) -> None:
+    def close_after_responses(self) -> None:
         """Serve on, and close each connection with its answer, idle ones now: clients go elsewhere, those that come
         meanwhile are served."""
         self.state.leaving = True
         self._back.wake()
 
-    def drain(self, sweep: bool = False) -> None:
+    def drain(self, accept_queued: bool = False) -> None:
         """Accept nothing more and close what is idle; requests under way go on.
 
-        ``sweep`` takes what the kernel has accepted by then and closes the listening socket: for a host that has it
-        alone.
+        ``accept_queued`` takes what the kernel has accepted by then and closes the listening socket: for a host that
+        has it alone.
         """
         self.state.draining = True
         if self._accepted.ident is not None:
             self._accepted.join(2.0)
-        if sweep:
+        if accept_queued:
             with contextlib.suppress(OSError):
                 self._sweep_listener()
             self.listener.close()
@@ -156,7 +156,7 @@
             return True
         return any(each.begun_at or not each.served for each in list(self._parked.values()))
 
-    def seal(self) -> bool:
+    def stop_reading_if_idle(self) -> bool:
         """Read nothing more, unless busy; whether that is so.
 
         For the end of the process: what is read after the last look at ``busy`` would be lost.
@@ -232,7 +232,7 @@
         time.sleep(0.01)
 
     def _turn_away(self, sock: socket.socket, why: str) -> None:
-        self.refused += 1
+        self.rejected += 1
         with contextlib.suppress(OSError):
             sockets.send(sock, self._refuse(503, why))
             sock.shutdown(socket.SHUT_WR)
@@ -379,7 +379,7 @@
             self._close(connection)
             return
         try:
-            request = connection.take(data)
+            request = connection.feed(data)
         except ProtocolError as error:
             self._reject(connection, error.status, str(error))
             return
@@ -423,7 +423,7 @@
         except OSError:
             self._close(connection)
 
-    def _hand_over(self, connection: Connection, request: Request) -> None:
+    def _hand_over(self, connection: Connection, request: HttpRequest) -> None:
         """Give the request to a worker; when none can be had, refuse it."""
         with self._lock:
             if self._free > 0:
@@ -444,7 +444,7 @@
                 self._log(f"out of threads: {error}")
                 spawn = None
         if spawn is None:
-            self.refused += 1
+            self.rejected += 1
             self._reject(connection, 503, "all workers are busy")
             return
         self._jobs.put((connection, request))
@@ -470,7 +470,7 @@
 
     # Working.
 
-    def _work(self, connection: Connection, request: Request) -> None:
+    def _work(self, connection: Connection, request: HttpRequest) -> None:
         with self._lock:
             own = self._wakers < self._most_wakers
             self._wakers += own
@@ -481,11 +481,11 @@
             with self._lock:
                 self.workers -= 1
                 self._wakers -= own
-            self.refused += 1
+            self.rejected += 1
             self._reject(connection, 503, "no descriptor is free")
             return
         try:
-            job: tuple[Connection, Request] | None = (connection, request)
+            job: tuple[Connection, HttpRequest] | None = (connection, request)
             while job is not None:
                 self._serve(*job, waker)
                 with self._lock:
@@ -504,13 +504,13 @@
                 self.workers -= 1
                 self._wakers -= own
 
-    def _serve(self, connection: Connection, request: Request, waker: Waker) -> None:
+    def _serve(self, connection: Connection, request: HttpRequest, waker: Waker) -> None:
         """Run the request, and those that follow at once on the same connection."""
-        following: Request | None = request
+        following: HttpRequest | None = request
         while following is not None and self._answer(connection, following, waker):
             following = self._next(connection)
 
-    def _answer(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def _answer(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         """Run one request; whether its connection goes on."""
         try:
             keep = self._handle(connection, request, waker)
@@ -532,17 +532,17 @@
             return False
         return True
 
-    def _next(self, connection: Connection) -> Request | None:
+    def _next(self, connection: Connection) -> HttpRequest | None:
         """The request that follows on a connection; none where it is parked or closed."""
         try:
-            following = connection.take(b"")
+            following = connection.feed(b"")
             wait = 0 if self.state.draining else _LINGER_MS
             if following is None and connection.reader.idle and sockets.readable(connection.sock, wait):
                 data = sockets.receive(connection.sock, _READ)
                 if not data:
                     self._close(connection)
                     return None
-                following = connection.take(data)
+                following = connection.feed(data)
         except ProtocolError as error:
             self._reject(connection, error.status, str(error))
             return None
@@ -571,7 +571,7 @@
     return sock
 
 
-def plain(
+def plain_response(
     status: int,
     body: bytes,
     headers: tuple[tuple[str, str], ...] = (),
--- a/stonetrack/frontend/service.py
+++ b/stonetrack/frontend/instance_service.py
@@ -12,22 +12,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class RequestRecord:
     """One request as it ended, for the log and the metrics; times in nanoseconds."""
 
-    front: str
+    frontend: str
     request: str
     class_name: str  # of the settings that the request was read by
     tenant_name: str
     status: int
-    ended: str  # served, refused, failed, broken, rejected, gone
-    took: int
-    first: int  # until the answer began, -1 where it did not
+    outcome: str  # served, refused, failed, broken, rejected, gone
+    duration: int
+    time_to_first_token: int  # until the answer began, -1 where it did not
     attempts: int
     usage: dict[str, Any] | None
 
 
-class Service(Protocol):
+class InstanceService(Protocol):
     """The instance behind the fronts."""
 
     @property
@@ -54,8 +54,8 @@
     def metrics(self) -> tuple[bytes, str]:
         """The metrics page and its content type."""
 
-    def account(self, name: str, after: int) -> tuple[bytes, bool]:
+    def audit_lines(self, name: str, after: int) -> tuple[bytes, bool]:
         """Lines of an account that is kept here, after a number, and whether there are more than these."""
 
-    def record(self, record: Record) -> None:
+    def record(self, record: RequestRecord) -> None:
         """Note how a request ended."""
--- a/stonetrack/frontend/kserve.py
+++ b/stonetrack/frontend/kserve.py
@@ -14,10 +14,10 @@
 
 from stonetrack import __version__
 from stonetrack.frontend.admission import Admission
-from stonetrack.frontend.chat import ChatRequest, Message, decode, new_id
-from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.chat import ChatRequest, Message, decode, new_request_id
+from stonetrack.frontend.connection import Connection, HttpRequest
 from stonetrack.frontend.errors import ApiError
-from stonetrack.frontend.host import plain
+from stonetrack.frontend.host import plain_response
 from stonetrack.frontend.sinks import EventSink, HttpSink, WholeSink
 from stonetrack.node import ports
 from stonetrack.node.drive import Waker
@@ -113,13 +113,13 @@
         self.admission = admission
         self.service = admission.service
 
-    def handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def handle(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         """Anything under ``/v2``; errors in the protocol's form."""
         try:
             return self._route(connection, request, waker)
         except ApiError as error:
             connection.write(
-                plain(
+                plain_response(
                     error.status,
                     _encode({"error": error.message}),
                     error.headers,
@@ -129,7 +129,7 @@
             )
             return request.head.keep_alive
 
-    def _route(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def _route(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         parts = request.head.path.removeprefix(PREFIX).strip("/").split("/")
         method = request.head.method
         if len(parts) >= 4 and parts[0] == "models" and parts[2] == "versions":
@@ -147,10 +147,10 @@
         if posts:
             return self._generate(connection, request, waker, parts[1], parts[2] == "generate_stream")
         body = self._read(parts, request)
-        connection.write(plain(200, _encode(body), keep=request.head.keep_alive, head_only=method == "HEAD"))
+        connection.write(plain_response(200, _encode(body), keep=request.head.keep_alive, head_only=method == "HEAD"))
         return request.head.keep_alive
 
-    def _read(self, parts: list[str], request: Request) -> dict[str, Any]:
+    def _read(self, parts: list[str], request: HttpRequest) -> dict[str, Any]:
         match parts:
             case [""]:
                 return {"name": "stonetrack", "version": __version__, "extensions": ["generate"]}
@@ -179,7 +179,7 @@
             raise ApiError(503, "not ready", "server_error")
         return True
 
-    def _generate(self, connection: Connection, request: Request, waker: Waker, name: str, stream: bool) -> bool:
+    def _generate(self, connection: Connection, request: HttpRequest, waker: Waker, name: str, stream: bool) -> bool:
         arrived, limits = request.arrived, self.service.settings.limits
         tenant = self.admission.tenant(request.head.headers)
         engine_model = self.admission.engine_model(name)
@@ -200,7 +200,7 @@
         body["messages"] = [{"role": "user", "content": asked.text_input}]
         most = asked.parameters.max_tokens if asked.parameters else None
         parsed = ChatRequest(model=name, messages=[Message("user", asked.text_input)], max_tokens=most)
-        request_id = new_id("gen-")
+        request_id = new_request_id("gen-")
         ask = self.admission.ask(request_id, request, tenant, parsed, body, not stream)
         sink_type = GenerateStream if stream else GenerateWhole
         sink: GenerateStream | GenerateWhole = sink_type(
--- a/stonetrack/frontend/waiting.py
+++ b/stonetrack/frontend/long_poll.py
@@ -13,19 +13,19 @@
 _GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-class Waiting:
+class LongPoll:
     """Those that wait for news of one thing; ``stopping`` ends every wait."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._wakers: set[Waker] = set()
         self.stopping = False
-        self.left = 0  # clients that went while they waited
+        self.clients_gone = 0  # clients that went while they waited
 
     def __len__(self) -> int:
         return len(self._wakers)
 
-    def wake(self) -> None:
+    def notify(self) -> None:
         """There is news."""
         with self._lock:
             wakers = list(self._wakers)
@@ -35,9 +35,9 @@
     def stop(self) -> None:
         """Nobody waits any more."""
         self.stopping = True
-        self.wake()
+        self.notify()
 
-    def poll(self, connection: Connection, waker: Waker, wait_ms: float, enough: Callable[[], bool]) -> bool:
+    def wait(self, connection: Connection, waker: Waker, wait_ms: float, enough: Callable[[], bool]) -> bool:
         """Wait until there is enough, the time is over or all stops; whether the client is still there."""
         poller = select.poll()
         poller.register(connection.fileno(), select.POLLRDHUP)
@@ -51,7 +51,7 @@
                     if fd == waker.fd:
                         waker.clear()
                     elif mask & _GONE:
-                        self.left += 1
+                        self.clients_gone += 1
                         return False
             return True
         finally:
--- a/stonetrack/frontend/refusals.py
+++ b/stonetrack/frontend/service_errors.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from stonetrack.frontend.host import plain
+from stonetrack.frontend.host import plain_response
 
 
 def error_body(why: str) -> bytes:
@@ -12,7 +12,7 @@
     return msgspec.json.encode({"error": why})
 
 
-def plain_refusal(status: int, why: str) -> bytes:
+def rejection_response(status: int, why: str) -> bytes:
     """The whole response for a client that is turned away; the connection closes after it."""
     headers = (("Retry-After", "1"),) if status == 503 else ()
-    return plain(status, error_body(why), headers, keep=False)
+    return plain_response(status, error_body(why), headers, keep=False)
--- a/stonetrack/frontend/sinks.py
+++ b/stonetrack/frontend/sinks.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from stonetrack.frontend import errors
-from stonetrack.frontend.connection import Connection, Request
-from stonetrack.frontend.host import plain
-from stonetrack.frontend.writing import ConnectionSink
+from stonetrack.frontend.connection import Connection, HttpRequest
+from stonetrack.frontend.connection_sink import ConnectionSink
+from stonetrack.frontend.host import plain_response
 from stonetrack.node import ports
 from stonetrack.wire import sse, writer
 
@@ -27,7 +27,7 @@
     def __init__(
         self,
         connection: Connection,
-        request: Request,
+        request: HttpRequest,
         headers: tuple[tuple[str, str], ...],
         limited: bool,
         repeatable: bool,
@@ -68,8 +68,8 @@
     def respond(self, status: int, body: bytes, headers: tuple[tuple[str, str], ...] = ()) -> None:
         """Write one whole response."""
         self.status = status
-        self.keep = self.keep and not self.connection.last
-        self.connection.write(plain(status, body, (*self.headers, *headers), keep=self.keep))
+        self.keep = self.keep and not self.connection.closes_after_response
+        self.connection.write(plain_response(status, body, (*self.headers, *headers), keep=self.keep))
 
 
 class EventSink(HttpSink):
@@ -81,7 +81,7 @@
         """See ``HttpSink``."""
         super().begin()
         self.status = 200
-        self.keep = self.keep and not self.connection.last
+        self.keep = self.keep and not self.connection.closes_after_response
         fields = [("Content-Type", "text/event-stream; charset=utf-8"), ("Cache-Control", "no-cache"), *self.headers]
         if self.request.head.chunks and self.keep:
             self._head = writer.streamed(200, fields)
--- a/tests/test_cases.py
+++ b/tests/test_cases.py
@@ -14,7 +14,7 @@
 from stonetrack.capture.codec import Call, CaptureError, Header, Record, State
 from stonetrack.capture.history import read
 from stonetrack.capture.replay import replay
-from stonetrack.frontend.classify import ByteEstimator, hash_key, session_of, shape
+from stonetrack.frontend.classify import ByteEstimator, describe_prompt, hash_key, session_of
 from stonetrack.logic import Router
 from stonetrack.settings import parse
 from tests.rig import Client, chat, raw_settings, rig
@@ -167,7 +167,9 @@
     names = [session_of(("bob",), 0, hash_key(each)) for each in (one, same, other)]
     assert names[0] == names[1] != names[2]
     messages = [{"role": "system", "content": "You are brief."}, {"role": "user", "content": "Hi"}]
-    begun = [shape(messages, None, "m", ByteEstimator(), hash_key(each)).shared_beginning for each in (one, other)]
+    begun = [
+        describe_prompt(messages, None, "m", ByteEstimator(), hash_key(each)).shared_prefix for each in (one, other)
+    ]
     assert begun[0] != begun[1] and None not in begun
 
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from stonetrack.frontend.connection import Connection, HostState, Request
-from stonetrack.frontend.host import Host, listen, plain
+from stonetrack.frontend.connection import Connection, HostState, HttpRequest
+from stonetrack.frontend.host import Host, listen, plain_response
 from stonetrack.node import sockets
 from stonetrack.node.drive import Waker
 from stonetrack.node.sockets import System
@@ -40,13 +40,13 @@
         self.wait.set()
         self.host = Host(
             self.listener, Limits(**limits), Timing(idle_ms=60_000), self.handle,
-            lambda status, why: plain(status, why.encode(), keep=False), self.said.append)  # fmt: skip
+            lambda status, why: plain_response(status, why.encode(), keep=False), self.said.append)  # fmt: skip
 
-    def handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def handle(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         self.asked.append(request.head.path)
         self.wait.wait(5.0)
-        keep = request.head.keep_alive and not connection.last
-        connection.write(plain(200, request.head.path.encode(), keep=keep))
+        keep = request.head.keep_alive and not connection.closes_after_response
+        connection.write(plain_response(200, request.head.path.encode(), keep=keep))
         return keep
 
 
@@ -77,7 +77,7 @@
         made.wait.clear()
         client.send(GET % 1 + GET % 2 + GET % 3)
         assert wait_for(lambda: made.asked == ["/1"])
-        made.host.leave()
+        made.host.close_after_responses()
         made.host.drain()
         made.wait.set()
         answers = [client.answer() for _ in range(3)]
@@ -96,7 +96,7 @@
         made.wait.set()
         assert client.answer()[1] == b"/1" and made.host.busy
         time.sleep(0.05)
-        assert not made.host.seal()
+        assert not made.host.stop_reading_if_idle()
         client.send((GET % 2)[10:])
         assert client.answer()[1] == b"/2"
         assert wait_for(lambda: not made.host.busy)
@@ -149,10 +149,10 @@
         made.wait.clear()
         client.send(GET % 2)
         assert wait_for(lambda: len(made.asked) == 2)
-        assert made.host.busy and not made.host.seal()
+        assert made.host.busy and not made.host.stop_reading_if_idle()
         made.wait.set()
         assert client.answer()[1] == b"/2"
-        assert wait_for(made.host.seal)
+        assert wait_for(made.host.stop_reading_if_idle)
         client.send(GET % 3)
         time.sleep(0.4)
         assert len(made.asked) == 2
@@ -165,7 +165,7 @@
         here, on = threading.Event(), threading.Event()
         real = made.host._hand_over
 
-        def slowly(connection: Connection, request: Request) -> None:
+        def slowly(connection: Connection, request: HttpRequest) -> None:
             here.set()
             on.wait(5.0)
             real(connection, request)
@@ -174,7 +174,7 @@
         client = Client(made.port)
         client.send(GET % 1)
         assert here.wait(5.0)
-        busy, sealed = made.host.busy, made.host.seal()
+        busy, sealed = made.host.busy, made.host.stop_reading_if_idle()
         on.set()
         assert busy and not sealed and client.answer()[1] == b"/1"
 
@@ -200,7 +200,7 @@
     made.host._spare = None
     made.host._parking.start()
     with system(Failing()):
-        made.host.drain(sweep=True)
+        made.host.drain(accept_queued=True)
     for n, client in enumerate(clients):
         head, body = client.answer()
         assert (head.status, body) == (200, b"/%d" % n) or head.status == 503
@@ -216,7 +216,7 @@
     made.host._parking.start()
     began = time.monotonic()
     with system(Full()):
-        made.host.drain(sweep=True)
+        made.host.drain(accept_queued=True)
     assert time.monotonic() - began < 1.5
     made.host.stop()
 
@@ -238,12 +238,12 @@
 
 
 def test_out_of_memory_while_a_request_is_read_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
-    def none_left(self: Connection, data: bytes) -> Request | None:
+    def none_left(self: Connection, data: bytes) -> HttpRequest | None:
         raise MemoryError
 
     with bare() as made:
         with monkeypatch.context() as patched:
-            patched.setattr(Connection, "take", none_left)
+            patched.setattr(Connection, "feed", none_left)
             client = Client(made.port)
             client.send(GET % 1)
             assert client.answer()[0].status == 503
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -16,9 +16,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stonetrack.frontend import jsonguard
+from stonetrack.frontend import json_limits
 from stonetrack.frontend.auth import key_hash, tenant_of
-from stonetrack.frontend.classify import BadTimeLeft, ByteEstimator, class_of, session_of, shape, time_left
+from stonetrack.frontend.classify import BadTimeLeft, ByteEstimator, class_of, describe_prompt, session_of, time_left
 from stonetrack.settings import parse
 from stonetrack.settings.schema import Tenant
 from stonetrack.wire import http1
@@ -141,10 +141,10 @@
         return 0 if inner is None else 1 + max(map(depth, inner), default=0)
 
     text = json.dumps(value).encode()
-    jsonguard.check(text, depth(value), 1_000)
+    json_limits.check(text, depth(value), 1_000)
     if depth(value):
-        with pytest.raises(jsonguard.TooComplex, match="nests"):
-            jsonguard.check(text, depth(value) - 1, 1_000)
+        with pytest.raises(json_limits.TooComplex, match="nests"):
+            json_limits.check(text, depth(value) - 1, 1_000)
 
 
 def test_wrong_paths_and_methods(node: Rig) -> None:
@@ -500,15 +500,15 @@
 
 def test_the_shared_beginning_is_the_leading_system_text_and_tools() -> None:
     def of(*messages: tuple[str, str], tools: object = None) -> Any:
-        return shape([{"role": r, "content": c} for r, c in messages], tools, "m", ByteEstimator())
+        return describe_prompt([{"role": r, "content": c} for r, c in messages], tools, "m", ByteEstimator())
 
     one = of(("system", "a" * 400), ("user", "x"))
     two = of(("system", "a" * 400), ("user", "y" * 4_000), ("system", "later"))
-    assert one.shared_beginning == two.shared_beginning and one.shared_tokens == two.shared_tokens
+    assert one.shared_prefix == two.shared_prefix and one.shared_tokens == two.shared_tokens
     assert two.prompt_tokens > one.prompt_tokens > one.shared_tokens >= 100
-    assert of(("system", "b" * 400)).shared_beginning != one.shared_beginning
-    assert of(("system", "a" * 400), tools=[{"a": 1}]).shared_beginning != one.shared_beginning
-    assert of(("user", "x")).shared_beginning is None
+    assert of(("system", "b" * 400)).shared_prefix != one.shared_prefix
+    assert of(("system", "a" * 400), tools=[{"a": 1}]).shared_prefix != one.shared_prefix
+    assert of(("user", "x")).shared_prefix is None
 
 
 def test_sessions_are_kept_apart_by_tenant_and_no_name_leaves() -> None:
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -220,7 +220,7 @@
     """Which requests go to a cold engine hangs on their ids alone, so these are the same in every run: r0 gets five of
     them within one window, where random ids give four in the middle, and seven or more once in fourteen runs."""
     count = itertools.count(400)
-    monkeypatch.setattr(chat, "new_id", lambda prefix: f"{prefix}{next(count):024x}")
+    monkeypatch.setattr(chat, "new_request_id", lambda prefix: f"{prefix}{next(count):024x}")
 
     def warm(event: api.Event) -> api.Event:
         if isinstance(event, api.ServerList):
