--- a/benchmarks/cases.py
+++ b/benchmarks/cases.py
@@ -20,7 +20,7 @@
 from stonetrack.capture import case, history, revision
 from stonetrack.capture.codec import CaptureError
 from stonetrack.logic import Router
-from tests.rig import Client, Rig, chat, rig
+from tests.harness import Client, Harness, chat, harness
 
 
 @dataclass(frozen=True)
@@ -30,37 +30,37 @@
     fixed_by: str
     title: str
     found: str
-    trouble: Callable[[Rig], None]
+    trouble: Callable[[Harness], None]
     clients: int = 12
     seconds: float = 4.0
     words: tuple[int, int] = (50, 3_000)
-    fleet: dict[str, Any] = field(default_factory=lambda: {"readers": 3, "writers": 3})
+    fleet: dict[str, Any] = field(default_factory=lambda: {"prefill": 3, "decode": 3})
     spec: dict[str, Any] = field(default_factory=dict)
     settings: dict[str, Any] = field(default_factory=dict)
 
 
-def restart(node: Rig) -> None:
+def restart(node: Harness) -> None:
     time.sleep(0.5)
     node.fault("r1", "crash", down_ms=300)
 
 
-def slow(engine: str, factor: float) -> Callable[[Rig], None]:
-    def go(node: Rig) -> None:
+def slow(engine: str, factor: float) -> Callable[[Harness], None]:
+    def go(node: Harness) -> None:
         time.sleep(0.7)
         node.fault(engine, "slow", factor=factor, for_ms=3_000)
 
     return go
 
 
-def hang(engine: str) -> Callable[[Rig], None]:
-    def go(node: Rig) -> None:
+def hang(engine: str) -> Callable[[Harness], None]:
+    def go(node: Harness) -> None:
         time.sleep(0.7)
         node.fault(engine, "hang", for_ms=2_500)
 
     return go
 
 
-def nothing(node: Rig) -> None:
+def nothing(node: Harness) -> None:
     """No trouble but the load."""
 
 
@@ -72,11 +72,11 @@
     ),
     "moving-queue": Recipe(
         "9201cc2", "reads in a queue that moved were called off and read anew", "small fleets, days of crashes",
-        nothing, clients=40, spec={**HEAVY, "read_rate": 9_000.0}, fleet={"readers": 2, "writers": 2},
+        nothing, clients=40, spec={**HEAVY, "read_rate": 9_000.0}, fleet={"prefill": 2, "decode": 2},
     ),
     "late-credit": Recipe(
         "b351457", "timely outcomes paid for calls off while queues grew", "answers lost on kochi-statements",
-        hang("r0"), clients=40, spec={**HEAVY, "read_rate": 12_000.0}, fleet={"readers": 2, "writers": 2},
+        hang("r0"), clients=40, spec={**HEAVY, "read_rate": 12_000.0}, fleet={"prefill": 2, "decode": 2},
     ),
     "waiting-writer": Recipe(
         "4b53495", "streams went on to a writer at which first tokens were waited for", "incident if7b347",
@@ -111,7 +111,7 @@
         "rules": [{"to": "batch", "header": {"name": "x-batch", "value": "1"}}],
     }  # fmt: skip
     made = lambda s, n: old.make(s, n)  # noqa: E731
-    with rig(**recipe.fleet, settings=settings, make_router=made, **recipe.spec) as node:
+    with harness(**recipe.fleet, settings=settings, make_router=made, **recipe.spec) as node:
         end = time.monotonic() + recipe.seconds
 
         def one(index: int) -> None:
--- a/stonetrack/audit/keeping.py
+++ b/stonetrack/audit/keeping.py
@@ -15,8 +15,8 @@
 
 from stonetrack.audit.account import Account, Acting, Span
 from stonetrack.audit.chain import Read, line, read
-from stonetrack.durable import sync_folder
-from stonetrack.node.threads import lasting
+from stonetrack.durable import sync_directory
+from stonetrack.node.threads import restarting_thread
 
 SUFFIX = ".account"
 LOOK = 0.5  # seconds from one look at what is due to the next
@@ -68,7 +68,7 @@
         self._file = _number(there[-1]) + 1 if there else 0  # a torn end stays as it was found
         self._cut_to: tuple[Path, int] | None = None  # a file whose last write failed, and its length before that
         self._done = threading.Event()
-        self._thread = lasting("account", self._run, log)
+        self._thread = restarting_thread("account", self._run, log)
 
     def start(self) -> None:
         """Begin to write."""
@@ -137,7 +137,7 @@
                 out.flush()
                 os.fsync(out.fileno())
             if new:
-                sync_folder(self._folder)
+                sync_directory(self._folder)
         except OSError:
             self._cut_to = (path, before)
             self._file += 1  # pages whose sync failed are not trusted: what follows begins a file of its own
--- a/stonetrack/capture/recorder.py
+++ b/stonetrack/capture/recorder.py
@@ -25,7 +25,7 @@
 from stonetrack.capture.journal import SUFFIX, Append, Bounds, Close, Journal, Op, Open, Sync
 from stonetrack.capture.retention import Held, to_delete
 from stonetrack.capture.store import Store
-from stonetrack.durable import sync_folder
+from stonetrack.durable import sync_directory
 
 
 def is_open(path: Path) -> bool:
@@ -169,7 +169,7 @@
                 case Sync(folder):
                     os.fdatasync(self._descriptor())
                     if folder:
-                        sync_folder(self.folder)
+                        sync_directory(self.folder)
                 case Close():
                     self._release()
 
--- a/stonetrack/capture/tend.py
+++ b/stonetrack/capture/tend.py
@@ -36,7 +36,7 @@
 from stonetrack.capture.recorder import is_open, retain
 from stonetrack.capture.store import Saved, Store
 from stonetrack.clocks import wall_time, wall_time_ns
-from stonetrack.durable import sync_folder
+from stonetrack.durable import sync_directory
 from stonetrack.logic import Router
 
 PACKED = ".packing"
@@ -242,7 +242,7 @@
                 size = aside.stat().st_size
                 if size < len(data):
                     os.rename(aside, path)
-                    sync_folder(self.folder)
+                    sync_directory(self.folder)
                     yield from self._index(path)
             finally:
                 aside.unlink(missing_ok=True)
--- a/stonetrack/clocks.py
+++ b/stonetrack/clocks.py
@@ -12,7 +12,7 @@
 import time
 from collections.abc import Callable
 
-RIG_OFFSET = "STONETRACK_RIG_CLOCK_MS"  # the fleet's test harness sets a process's wall clock apart by this
+CLOCK_OFFSET_VARIABLE = "STONETRACK_RIG_CLOCK_MS"  # the fleet's test harness sets a process's wall clock apart by this
 _MS = 1_000_000
 
 
@@ -26,13 +26,13 @@
     return time.time()
 
 
-def rig_offset_ns() -> int:
+def wall_clock_offset_ns() -> int:
     """By how much the test harness sets this process's wall clock apart; 0 outside of it."""
-    return int(os.environ.get(RIG_OFFSET, "0")) * _MS
+    return int(os.environ.get(CLOCK_OFFSET_VARIABLE, "0")) * _MS
 
 
 def node_clock() -> Callable[[], int]:
     """A clock in nanoseconds that begins at Unix time and then follows the monotonic clock, whatever is stepped."""
-    offset = wall_time_ns() - time.monotonic_ns() + rig_offset_ns()
+    offset = wall_time_ns() - time.monotonic_ns() + wall_clock_offset_ns()
     monotonic = time.monotonic_ns
     return lambda: offset + monotonic()
--- a/stonetrack/control/service.py
+++ b/stonetrack/control/service.py
@@ -38,7 +38,7 @@
 from stonetrack.frontend.host import Host, plain
 from stonetrack.frontend.refusals import error_body, plain_refusal
 from stonetrack.frontend.waiting import Waiting
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 
 LOOK = 0.2  # seconds from one look at all nodes to the next, at the least
 LOOKED_AT = 5_000.0  # nodes a second: a look at so many takes 0.1 s
--- a/stonetrack/controller/service.py
+++ b/stonetrack/controller/service.py
@@ -26,7 +26,7 @@
 from stonetrack.cas_store.embedded import Embedded
 from stonetrack.cas_store.etcd import Etcd
 from stonetrack.cas_store.ports import Entry, Register, RegisterError, Unknown
-from stonetrack.clocks import rig_offset_ns, wall_time, wall_time_ns
+from stonetrack.clocks import wall_clock_offset_ns, wall_time, wall_time_ns
 from stonetrack.controller import jobs
 from stonetrack.controller.calls import CallRefused, Receivers
 from stonetrack.controller.checking import Check
@@ -88,7 +88,7 @@
         terms = Terms(int(settings.lease_s * SECOND), settings.drift, settings.margin_ms * 1_000_000)
         self._lease = Lease(self.me, terms, settings.rank)
         # Once: a wall clock that is set does not reach into a job's times.
-        self._began = (wall_time_ns() + rig_offset_ns() - clock()) / SECOND
+        self._began = (wall_time_ns() + wall_clock_offset_ns() - clock()) / SECOND
         self._draw = random.Random(self.me)
         self._lock = threading.Lock()
         self._changed = threading.Condition(self._lock)
--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -50,15 +50,15 @@
 from stonetrack.frontend.host import Host
 from stonetrack.frontend.service import Record
 from stonetrack.logic import Router
-from stonetrack.node.core import Core, Decider
-from stonetrack.node.drive import Bounds, Drive, Waker
-from stonetrack.node.life import Life
-from stonetrack.node.ports import Ask, Sink
+from stonetrack.node.core import Core, RouterProtocol
+from stonetrack.node.ports import InferenceRequest, Sink
+from stonetrack.node.request_lifecycle import RequestLifecycle
+from stonetrack.node.request_runner import Bounds, RequestRunner, Waker
 from stonetrack.settings import Node
 from stonetrack.settings.check import router_settings
 
 MS = 1_000_000
-MakeRouter = Callable[[api.Settings, int], Decider]
+MakeRouter = Callable[[api.Settings, int], RouterProtocol]
 
 
 def digest(settings: Node) -> str:
@@ -116,11 +116,11 @@
         self.places = Places(told)
         self.recorder = self._recorder(settings, index, instances, name, seed, clock, log)
         mark = self._mark if settings.control.mark else None
-        self.core = Core(router, clock, log=log, probe=self._probe, record=self._records(), acting=mark)
+        self.core = Core(router, clock, log=log, probe=self._probe, record=self._records(), acting_version=mark)
         self._hints = Hints(good_at_of(lambda: getattr(router, "servers", {})))
         if self.recorder is not None and isinstance(router, Router):
-            self.recorder.after_gaps(self.core.still, lambda: snapshot.take(router))
-        self.engines = EngineClient(settings, clock, name, self.core.tell, self.core.acting_of)
+            self.recorder.after_gaps(self.core.run_exclusively, lambda: snapshot.take(router))
+        self.engines = EngineClient(settings, clock, name, self.core.handle_event, self.core.acting_version_of)
         self.bounds = bounds(settings)
         self.engines.background.start()
         self.core.start()
@@ -159,16 +159,16 @@
             if self._keeper is not None:
                 self._keeper.turn(self.core.clock(), self.acting)
 
-        self.core.still(between_two_events)
+        self.core.run_exclusively(between_two_events)
         self.places.settings = laid
         self.bounds = bounds(settings)
         self.engines.change(settings)
         self.settings = settings
         return self.places.gone(told)
 
-    def placed(self, ask: Ask) -> Ask:
+    def placed(self, ask: InferenceRequest) -> InferenceRequest:
         """A request with its class and tenant where the router has them."""
-        under = ask.under
+        under = ask.settings
         if under is None:
             return ask
         cls = self.places.class_at(under.classes[ask.class_index].name)
@@ -228,12 +228,12 @@
     def take_list(self, event: api.ServerList, engines: dict[str, Engine]) -> None:
         """Addresses first: the router may send to what it is told of at once."""
         self.engines.list_changed(engines)
-        self.core.tell(event)
+        self.core.handle_event(event)
 
     def take_hints(self, lines: Mapping[str, Line]) -> None:
         """What the list says of engines that the steward can't reach; see ``engines.hints``."""
         for name in self._hints.take(lines, self.core.clock()):
-            self.core.tell(api.ProbeEnded(name, api.Outcome.TIMED_OUT, 0))
+            self.core.handle_event(api.ProbeEnded(name, api.Outcome.TIMED_OUT, 0))
 
     def close(self, wait: float = 1.0) -> None:
         """Stop its threads."""
@@ -432,13 +432,13 @@
         """Requests under way, of all generations."""
         return sum(each.core.open_requests for each in (*self._old, self._current))
 
-    def serve(self, ask: Ask, sink: Sink, waker: Waker) -> Life:
+    def serve(self, ask: InferenceRequest, sink: Sink, waker: Waker) -> RequestLifecycle:
         """Run one request to its end.  Raises ApiError where none may be taken."""
         if self._control is not None and (why := self._control.refusal()):
             raise ApiError(503, f"this node takes no requests: {why}", code="node_out", headers=(("Retry-After", "1"),))
         generation = self._current  # after the permit was looked at: never an older version than the permit is for
         ask = generation.placed(ask)
-        life = Drive(generation.core, generation.engines, generation.bounds, ask, sink, waker).run()
+        life = RequestRunner(generation.core, generation.engines, generation.bounds, ask, sink, waker).run()
         if self._old:
             self._retire()
         return life
--- a/stonetrack/discovery/service.py
+++ b/stonetrack/discovery/service.py
@@ -41,7 +41,7 @@
 from stonetrack.frontend.host import Host, plain
 from stonetrack.frontend.refusals import error_body, plain_refusal
 from stonetrack.frontend.waiting import Waiting
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 
 MS, SECOND = 1_000_000, 1_000_000_000
 PATH = "/engines"
--- a/stonetrack/durable.py
+++ b/stonetrack/durable.py
@@ -14,7 +14,7 @@
 _TEMPORARY = ".new"
 
 
-def sync_folder(folder: Path) -> None:
+def sync_directory(folder: Path) -> None:
     """Make names in a folder durable.  Raises OSError."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
@@ -37,7 +37,7 @@
         with contextlib.suppress(OSError):
             fresh.unlink(missing_ok=True)
         raise
-    sync_folder(path.parent)
+    sync_directory(path.parent)
     _remove_left_behind(path, fresh)
 
 
--- a/stonetrack/edge/abandoned.py
+++ b/stonetrack/edge/abandoned.py
@@ -33,7 +33,7 @@
 from stonetrack.engines.releases import Heard, Item
 from stonetrack.engines.releasing import Releasing
 from stonetrack.node import sockets
-from stonetrack.node.threads import lasting
+from stonetrack.node.threads import restarting_thread
 
 SECOND = 1_000_000_000
 MOST = 1_024  # debts; past that the oldest are dropped
@@ -124,7 +124,7 @@
         self._stopping = False
         self.counts = Counts()
         self._releasing = Releasing(clock, ASK_PAUSE, THREADS, self._carry, self._over, log=log)
-        self._thread = lasting("abandoned-reads", self._run, log)
+        self._thread = restarting_thread("abandoned-reads", self._run, log)
 
     def __len__(self) -> int:
         return len(self._book.debts)
--- a/stonetrack/edge/asks.py
+++ b/stonetrack/edge/asks.py
@@ -11,7 +11,7 @@
 import re
 from dataclasses import dataclass
 
-from stonetrack.node.ports import Ask
+from stonetrack.node.ports import InferenceRequest
 from stonetrack.wire.http1 import Headers, RequestHead
 
 MS = 1_000_000
@@ -110,7 +110,9 @@
     return tenants[name]
 
 
-def ask(head: RequestHead, body: bytes, classes: dict[str, int], waited: int, now: int, tenants: dict[str, int]) -> Ask:
+def ask(
+    head: RequestHead, body: bytes, classes: dict[str, int], waited: int, now: int, tenants: dict[str, int]
+) -> InferenceRequest:
     """The request, ``waited`` nanoseconds after its head came; classes and tenants by name.  Raises BadAsk."""
     headers = head.headers
     request = _one(headers, ID)
@@ -123,7 +125,7 @@
     told = facts(_one(headers, FACTS))
     prompt = _count(told, "prompt_len", len(body) // CHARACTERS_PER_TOKEN)
     beginning = told.get("prefix")
-    return Ask(
+    return InferenceRequest(
         request,
         classes[name],
         _one(headers, SESSION)[:200],
--- a/stonetrack/edge/calls.py
+++ b/stonetrack/edge/calls.py
@@ -9,7 +9,7 @@
 
 from stonetrack.edge.hosts import Engine
 from stonetrack.engines.pool import Pool
-from stonetrack.node.sockets import MachineShort, close, reset
+from stonetrack.node.sockets import ResourceExhausted, close, reset
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
 
@@ -83,7 +83,7 @@
                 reset(sock)
                 self._pool.unanswered(age)
                 raise
-        except MachineShort:
+        except ResourceExhausted:
             raise  # no fault of the engine's
         except OSError:
             self.suspects[engine.name] = self._clock() + SUSPECT
--- a/stonetrack/edge/engines.py
+++ b/stonetrack/edge/engines.py
@@ -18,9 +18,9 @@
 from stonetrack.edge.probes import Probes
 from stonetrack.engines.attempt import SocketAttempt
 from stonetrack.engines.pool import Pool
-from stonetrack.node.ports import Ask, Attempt, Over
+from stonetrack.node.ports import Attempt, AttemptResult, InferenceRequest
 from stonetrack.node.records import Records
-from stonetrack.node.sockets import MachineShort, close, readable, reset
+from stonetrack.node.sockets import ResourceExhausted, close, readable, reset
 from stonetrack.node.transitions import Step
 from stonetrack.wire import http1, writer
 
@@ -29,12 +29,12 @@
 _LIMITS = http1.Limits(head=16_384, headers=64, body=8 << 20)
 
 
-def request_bytes(ask: Ask, left: int) -> bytes:
+def request_bytes(ask: InferenceRequest, left: int) -> bytes:
     """One attempt's request; ``left`` nanoseconds is how long the node will wait."""
     body = ask.body
     headers = [
         ("Host", SERVICE),
-        (ID.title(), ask.request),
+        (ID.title(), ask.request_id),
         (LEFT.title(), f"{max(left // 1_000_000, 1)}m"),
         *body.headers,
     ]
@@ -75,45 +75,45 @@
         self.pool.forget({(e.host, e.port) for e in engines.values()})
 
     def start(
-        self, ask: Ask, server: str, number: int, state: Any, place: bool, may_send: Callable[[str], bool]
-    ) -> Attempt | Over:
+        self, ask: InferenceRequest, server: str, number: int, state: Any, place: bool, may_send: Callable[[str], bool]
+    ) -> Attempt | AttemptResult:
         """See ``ports.Engines.start``."""
         engine = self._engines.get(server)
         if engine is None or not may_send(server):
-            return Over(api.Outcome.NOT_SENT, f"engine {server} is leaving or gone")
+            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is leaving or gone")
         try:
             # A release that is still open is tried on while this connects: an engine that is cut off takes all of
             # the time for connecting, and nothing of the request is out meanwhile.
             sock, age = self.pool.take(engine.host, engine.port, self._connect)
-            settled = self.leases.settle(ask.request)
+            settled = self.leases.settle(ask.request_id)
             if settled is not Settled.NOTHING and age is not None and readable(sock):
                 close(sock)  # it was closed while the release was waited for
                 sock, age = self.pool.take(engine.host, engine.port, self._connect)
         except OSError as error:
             if self._trace is not None:
                 self._trace(f"trace connect {server}: {type(error).__name__} {error}")
-            short = isinstance(error, MachineShort)  # no fault of the engine's
+            short = isinstance(error, ResourceExhausted)  # no fault of the engine's
             outcome = api.Outcome.NOT_SENT if short else api.Outcome.CONNECT_FAILED
-            return Over(outcome, f"engine {server}: {error}")
+            return AttemptResult(outcome, f"engine {server}: {error}")
         if settled is Settled.UNHEARD:
             close(sock)  # not given back: nothing was heard on it
-            return Over(api.Outcome.NOT_SENT, "an older release of the request is not heard yet")
+            return AttemptResult(api.Outcome.NOT_SENT, "an older release of the request is not heard yet")
         if not may_send(server):  # a list may have come while we connected
             reset(sock)
-            return Over(api.Outcome.NOT_SENT, f"engine {server} is leaving")
+            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is leaving")
         if self._trace is not None:
-            self._trace(f"trace conn {ask.request} {number} {server} {age}")
+            self._trace(f"trace conn {ask.request_id} {number} {server} {age}")
         left = ask.body.deadline - self._clock()
         if self._records is not None:
             reads = engine.role is api.Role.READER
             self._records.note(
-                ask.request,
+                ask.request_id,
                 Step.SENT,
                 server,
                 number,
                 why=_age(age),
-                reads=reads,
-                time_told=left,
+                is_prefill=reads,
+                propagated_time=left,
                 closed_for=self._closed_for(server),
             )
         attempt = SocketAttempt(
@@ -123,12 +123,12 @@
             CONFIRM,
             lambda back: self.pool.give(engine.host, engine.port, back),
             api.Outcome.CONNECT_FAILED,
-            self._abandon(ask.request, engine),
+            self._abandon(ask.request_id, engine),
         )
         if self._trace is not None:
             self._traced[attempt] = server
         for event in attempt.push():
-            if isinstance(event, Over):
+            if isinstance(event, AttemptResult):
                 return event
         return attempt
 
@@ -147,8 +147,8 @@
         engine = self._engines.get(server)
         return self.pool.kept(engine.host, engine.port) if engine is not None else 0
 
-    def hold(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
-        """See ``ports.Engines.hold``: the platform's node asks for no reservation (docs/obligations.md)."""
+    def reserve(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
+        """See ``ports.Engines.reserve``: the platform's node asks for no reservation (docs/obligations.md)."""
         answer(False)
 
     def release(self, request: str, reader: str, state: Any, place: str, number: int, rest: bool) -> None:
--- a/stonetrack/edge/exchange.py
+++ b/stonetrack/edge/exchange.py
@@ -30,7 +30,7 @@
 import msgspec
 
 from stonetrack.api import LoadReport, Outcome, Role
-from stonetrack.node.ports import AttemptEvent, Began, Over, Passed
+from stonetrack.node.ports import AnswerStarted, AttemptEvent, AttemptResult, RawEvents
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
 
@@ -62,7 +62,7 @@
 
 
 class Exchange:
-    """Reads one answer; see the table above.  Feed it until it gives an ``Over``."""
+    """Reads one answer; see the table above.  Feed it until it gives an ``AttemptResult``."""
 
     __slots__ = ("_ahead", "_body", "_first", "_head", "_over", "_read_report", "_reader", "_role", "_tail",
                  "_unanswered", "began", "reusable", "seen")  # fmt: skip
@@ -129,7 +129,7 @@
         if self._over:
             return
         self._over = True
-        events.append(Over(outcome, report=self._report(), **more))
+        events.append(AttemptResult(outcome, report=self._report(), **more))
 
     def _report(self) -> LoadReport | None:
         """The stream's last comment, or else the head's field; a report that can't be read is none."""
@@ -152,7 +152,7 @@
         elif isinstance(event, http1.Data):
             if self.began:
                 self._keep_end(event.data)
-                events.append(Passed(event.data))
+                events.append(RawEvents(event.data))
             elif self._first:
                 self._begin(event.data, events)
             elif len(self._body) < _BODY:
@@ -177,7 +177,7 @@
         self._body.clear()
         self.began = True
         self._keep_end(whole)
-        events += [Began(), Passed(whole)]
+        events += [AnswerStarted(), RawEvents(whole)]
 
     def _whole(self, head: http1.ResponseHead, events: list[AttemptEvent]) -> None:
         """The message is complete."""
--- a/stonetrack/edge/leases.py
+++ b/stonetrack/edge/leases.py
@@ -155,4 +155,4 @@
 
     def _note(self, request: str, step: Step, engine: str = "", why: str = "", decided: int = 0) -> None:
         if self._records is not None:
-            self._records.note(request, step, engine, why=why, decided=decided)
+            self._records.note(request, step, engine, why=why, decided_at=decided)
--- a/stonetrack/edge/probes.py
+++ b/stonetrack/edge/probes.py
@@ -14,8 +14,8 @@
 from stonetrack.edge.calls import Calls
 from stonetrack.edge.exchange import LOAD, ReadReport, report_pairs
 from stonetrack.edge.hosts import Engine
-from stonetrack.node.sockets import MachineShort
-from stonetrack.node.threads import lasting
+from stonetrack.node.sockets import ResourceExhausted
+from stonetrack.node.threads import restarting_thread
 from stonetrack.wire import writer
 
 PATH = "/metrics/load"
@@ -39,7 +39,7 @@
         self._calls, self._clock, self._read_report, self._probed = calls, clock, read_report, probed
         self._engines: dict[str, Engine] = {}
         self._jobs: queue.Queue[tuple[str, int] | None] = queue.Queue(_MOST)
-        self._threads = [lasting(f"probes-{n}", self._run, log) for n in range(threads)]
+        self._threads = [restarting_thread(f"probes-{n}", self._run, log) for n in range(threads)]
 
     def start(self) -> None:
         """Start the threads."""
@@ -71,7 +71,7 @@
             report = None
             try:
                 answer = self._calls.call(engine, message, TIMEOUT)
-            except MachineShort:
+            except ResourceExhausted:
                 outcome = api.Outcome.NOT_SENT
             except TimeoutError:
                 outcome = api.Outcome.TIMED_OUT
--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -38,8 +38,8 @@
 from stonetrack.frontend.connection import Connection, Request
 from stonetrack.frontend.host import Host, listen
 from stonetrack.node.core import Core
-from stonetrack.node.drive import Bounds, Drive, Waker
 from stonetrack.node.records import Records
+from stonetrack.node.request_runner import Bounds, RequestRunner, Waker
 from stonetrack.settings.schema import Limits, Timing
 
 SECOND = 1_000_000_000
@@ -94,7 +94,7 @@
             budget.abandoned,
             log,
         )
-        self.probes = Probes(self.calls, self.clock, self._report, self.core.tell, log=log)
+        self.probes = Probes(self.calls, self.clock, self._report, self.core.handle_event, log=log)
         self.engines = EdgeEngines(
             self.pool,
             self.leases,
@@ -161,7 +161,7 @@
         self._passed_over = frozenset(self.hosts.passed_over)
         self.calls.forget(set(self.hosts.engines))
         self.engines.list_changed(dict(self.hosts.engines))
-        self.core.tell(event)
+        self.core.handle_event(event)
 
     def start(self) -> None:
         """Take the list that came along, follow discovery, accept clients."""
@@ -207,16 +207,16 @@
         except asks.BadAsk as error:
             return sink.respond(error.status, str(error))
         with self._ids_lock:
-            new = self._ids.take(ask.request, self.clock())
+            new = self._ids.take(ask.request_id, self.clock())
         if not new:
-            return sink.respond(409, f"request {ask.request} has come before: every request needs an id of its own")
+            return sink.respond(409, f"request {ask.request_id} has come before: every request needs an id of its own")
         cls = self.config.settings.classes[ask.class_index]
-        self.records.open(ask.request, f"{cls.name} ({cls.effect.value})", cls.effect, ask.body.deadline)
+        self.records.open(ask.request_id, f"{cls.name} ({cls.effect.value})", cls.effect, ask.body.deadline)
         try:
-            life = Drive(self.core, self.engines, self.bounds, ask, sink, waker, self.records).run()
+            life = RequestRunner(self.core, self.engines, self.bounds, ask, sink, waker, self.records).run()
         finally:
-            self.records.close(ask.request)
-        return sink.keep and not life.gone
+            self.records.close(ask.request_id)
+        return sink.keep and not life.client_gone
 
     # Signals.
 
@@ -242,7 +242,7 @@
 
             lines: list[str] = []
             open_at = self.engines.open_attempts()
-            self.core.still(lambda: lines.extend(beliefs(self._told.router, open_at, self.engines.kept)))
+            self.core.run_exclusively(lambda: lines.extend(beliefs(self._told.router, open_at, self.engines.kept)))
             for line in lines:
                 log(f"trace belief {line}")
 
--- a/stonetrack/edge/sink.py
+++ b/stonetrack/edge/sink.py
@@ -43,9 +43,9 @@
         head = writer.streamed if self.request.head.chunks else writer.response_until_close
         self._head = head(200, fields)
 
-    def piece(self, piece: ports.Piece) -> None:
+    def send_part(self, piece: ports.AnswerPart) -> None:
         """Pass events on."""
-        assert isinstance(piece, ports.Passed)
+        assert isinstance(piece, ports.RawEvents)
         data = writer.chunk(piece.data) if self.request.head.chunks else piece.data
         if self._head:
             data, self._head = self._head + data, b""
--- a/stonetrack/edge/watch.py
+++ b/stonetrack/edge/watch.py
@@ -18,7 +18,7 @@
 
 from stonetrack.edge.documents import DocumentError, DocumentReader
 from stonetrack.node.sockets import close, connect
-from stonetrack.node.threads import lasting
+from stonetrack.node.threads import restarting_thread
 from stonetrack.wire import http1, writer
 from stonetrack.wire.errors import ProtocolError
 
@@ -49,7 +49,7 @@
         self._stopping = False
         self._said = ""
         self._draw = random.Random()
-        self._thread = lasting("watch", self._run, log)
+        self._thread = restarting_thread("watch", self._run, log)
 
     def start(self) -> None:
         """Start following."""
--- a/stonetrack/engines/attempt.py
+++ b/stonetrack/engines/attempt.py
@@ -9,8 +9,8 @@
 
 from stonetrack.api import Outcome
 from stonetrack.node import sockets
-from stonetrack.node.ports import AttemptEvent, Over
-from stonetrack.node.sockets import MachineShort
+from stonetrack.node.ports import AttemptEvent, AttemptResult
+from stonetrack.node.sockets import ResourceExhausted
 
 _SETTLE_MS = 5  # waited for the last byte after the answer's end, so that the connection can be kept
 _SHORT_MOST = 60  # calls in a row for which the machine was short, each tried some times, before an attempt is given up
@@ -74,7 +74,7 @@
         return self._sock.fileno() if self._sock is not None else -1
 
     @property
-    def writing(self) -> bool:
+    def has_unsent_data(self) -> bool:
         """Whether part of the request is still to be written."""
         return len(self._out) > 0
 
@@ -89,7 +89,7 @@
                 self._short = 0
         except BlockingIOError:
             pass
-        except MachineShort as error:
+        except ResourceExhausted as error:
             return self._out_of_means(error)
         except OSError as error:
             if sockets.readable(sock):  # it may have answered before it closed
@@ -97,10 +97,10 @@
             return self._broke(f"the connection broke while the request was sent: {error}")
         return []
 
-    def ready(self) -> list[AttemptEvent]:
+    def process_io(self) -> list[AttemptEvent]:
         """Write and read what goes without blocking."""
         events = self.push() if self._out else []
-        if self._sock is not None and not any(isinstance(event, Over) for event in events):
+        if self._sock is not None and not any(isinstance(event, AttemptResult) for event in events):
             events += self._read(self._sock)
         return events
 
@@ -109,7 +109,7 @@
             data = sockets.receive(sock, 65_536)
         except BlockingIOError:
             return []
-        except MachineShort as error:
+        except ResourceExhausted as error:
             return self._out_of_means(error)
         except OSError as error:
             return self._broke(f"the connection broke: {error}")
@@ -120,7 +120,7 @@
             return self._broke("the engine closed before it took the whole request")
         else:
             events = self._exchange.eof()
-        if events and isinstance(events[-1], Over):
+        if events and isinstance(events[-1], AttemptResult):
             self._settle(sock, bool(data))
             self._note_abandoned(events)
         return events
@@ -128,10 +128,10 @@
     def _note_abandoned(self, events: list[AttemptEvent]) -> None:
         """The connection is gone: where it broke, what the engine did is not known."""
         over = events[-1] if events else None
-        if self._abandoned is not None and isinstance(over, Over) and over.outcome is Outcome.RESET:
+        if self._abandoned is not None and isinstance(over, AttemptResult) and over.outcome is Outcome.RESET:
             self._abandoned(None)
 
-    def _out_of_means(self, error: MachineShort) -> list[AttemptEvent]:
+    def _out_of_means(self, error: ResourceExhausted) -> list[AttemptEvent]:
         """This machine can't send or read just now: no fault of the engine's, so it is tried again for a while."""
         self._short += 1
         if self._short < _SHORT_MOST:
@@ -140,14 +140,14 @@
         self._drop()
         if not unsent and self._abandoned is not None:
             self._abandoned(None)
-        return [Over(Outcome.NOT_SENT if unsent else Outcome.CANCELLED, str(error))]
+        return [AttemptResult(Outcome.NOT_SENT if unsent else Outcome.CANCELLED, str(error))]
 
     def _broke(self, why: str) -> list[AttemptEvent]:
         """The connection is gone.  What the engine can't have taken whole, it can't have run (RFC 9112, 8)."""
         unsent = bool(self._out) and not self._exchange.seen
         self._drop()
         if unsent:
-            return [Over(self._unsent, why)]
+            return [AttemptResult(self._unsent, why)]
         events = self._exchange.reset(why)
         self._note_abandoned(events)
         return events
--- a/stonetrack/engines/background_calls.py
+++ b/stonetrack/engines/background_calls.py
@@ -20,7 +20,7 @@
 from stonetrack.engines.listing import Engine
 from stonetrack.engines.releases import Heard, Item
 from stonetrack.engines.releasing import Releasing
-from stonetrack.node.threads import lasting
+from stonetrack.node.threads import restarting_thread
 from stonetrack.wire import writer
 
 
@@ -61,7 +61,7 @@
         self._holding: dict[str, _Hold] = {}  # places asked for and not answered yet, by request
         self._hold_lock = threading.Lock()
         self.dropped = 0
-        self._threads = [lasting(f"engines-{n}", self._work, log) for n in range(threads)]
+        self._threads = [restarting_thread(f"engines-{n}", self._work, log) for n in range(threads)]
 
     def patience(self, seconds: float) -> None:
         """How long a call may take from here on."""
--- a/stonetrack/engines/calls.py
+++ b/stonetrack/engines/calls.py
@@ -33,7 +33,7 @@
     """
     try:
         sock = sockets.connect(host, port, timeout if connect is None else connect)
-    except sockets.MachineShort as error:
+    except sockets.ResourceExhausted as error:
         raise CallFailed(f"{host}:{port}: {error}", api.Outcome.NOT_SENT) from None
     except OSError as error:
         raise CallFailed(f"{host}:{port}: {error}", api.Outcome.CONNECT_FAILED) from None
--- a/stonetrack/engines/client.py
+++ b/stonetrack/engines/client.py
@@ -12,8 +12,8 @@
 from stonetrack.engines.background_calls import BackgroundCalls
 from stonetrack.engines.listing import Engine
 from stonetrack.engines.pool import Pool
-from stonetrack.node.ports import Ask, Attempt, Over
-from stonetrack.node.sockets import MachineShort, reset
+from stonetrack.node.ports import Attempt, AttemptResult, InferenceRequest
+from stonetrack.node.sockets import ResourceExhausted, reset
 from stonetrack.settings import Node
 from stonetrack.wire import http1
 
@@ -72,35 +72,35 @@
 
     def start(
         self,
-        ask: Ask,
+        ask: InferenceRequest,
         server: str,
         number: int,
         state: Any,
         place: bool,
         may_send: Callable[[str], bool],
-    ) -> Attempt | Over:
+    ) -> Attempt | AttemptResult:
         """See ``ports.Engines.start``."""
         engine = self._engines.get(server)
         if engine is None or not may_send(server):
-            return Over(api.Outcome.NOT_SENT, f"engine {server} is leaving or gone")
+            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is leaving or gone")
         role = engine.kind.role
         if state is not None and role is api.Role.READER:
             state = None
         if role is not api.Role.READER:
-            self.background.past(ask.request)
+            self.background.past(ask.request_id)
         request = protocol.chat_request(
             ask, role, f"{engine.host}:{engine.port}", number, self._instance, state, place, engine.kind.load_header,
-            self._acting_of(ask.request)
+            self._acting_of(ask.request_id)
         )  # fmt: skip
         try:
             sock, _ = self.pool.take(engine.host, engine.port, self._connect)
-        except MachineShort as error:
-            return Over(api.Outcome.NOT_SENT, f"engine {server}: {error}")
+        except ResourceExhausted as error:
+            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server}: {error}")
         except OSError as error:
-            return Over(api.Outcome.CONNECT_FAILED, f"engine {server}: {error}")
+            return AttemptResult(api.Outcome.CONNECT_FAILED, f"engine {server}: {error}")
         if not may_send(server):  # a list may have come while we connected
             reset(sock)
-            return Over(api.Outcome.NOT_SENT, f"engine {server} is leaving")
+            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is leaving")
         attempt = SocketAttempt(
             sock,
             request,
@@ -109,12 +109,12 @@
             lambda back: self.pool.give(engine.host, engine.port, back),
         )
         for event in attempt.push():
-            if isinstance(event, Over):
+            if isinstance(event, AttemptResult):
                 return event
         return attempt
 
-    def hold(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
-        """See ``ports.Engines.hold``."""
+    def reserve(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
+        """See ``ports.Engines.reserve``."""
         self.background.hold(request, server, number, answer)
 
     def release(self, request: str, reader: str, state: Any, place: str, number: int, rest: bool) -> None:
--- a/stonetrack/engines/pool.py
+++ b/stonetrack/engines/pool.py
@@ -14,7 +14,7 @@
 
 from stonetrack.engines.keeping import Keeping
 from stonetrack.engines.reuse import Rest
-from stonetrack.node.sockets import MachineShort, close, connect, readable
+from stonetrack.node.sockets import ResourceExhausted, close, connect, readable
 
 LOOK = 0.5  # seconds from one look at all idle connections to the next
 
@@ -48,7 +48,7 @@
     def take(self, host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
         """A connection and for how many seconds it was kept, None for a new one.
 
-        Raises OSError where none is had: MachineShort where that is not the engine's fault.
+        Raises OSError where none is had: ResourceExhausted where that is not the engine's fault.
         """
         while True:
             with self._lock:
@@ -78,7 +78,7 @@
         while True:
             try:
                 sock = connect(host, port, end - time.monotonic())
-            except MachineShort:
+            except ResourceExhausted:
                 if time.monotonic() >= end or not self._give_up_one():
                     raise
                 continue
--- a/stonetrack/engines/protocol.py
+++ b/stonetrack/engines/protocol.py
@@ -27,7 +27,7 @@
 
 from stonetrack.api import Outcome, Role
 from stonetrack.engines import load
-from stonetrack.node.ports import Ask, AttemptEvent, Began, Choices, Over
+from stonetrack.node.ports import AnswerStarted, AttemptEvent, AttemptResult, Choices, InferenceRequest
 from stonetrack.wire import http1, sse, writer
 from stonetrack.wire.errors import ProtocolError
 
@@ -44,7 +44,7 @@
 
 
 def chat_request(
-    ask: Ask,
+    ask: InferenceRequest,
     role: Role,
     host: str,
     number: int,
@@ -80,24 +80,24 @@
     headers = [
         ("Host", host),
         ("Content-Type", "application/json"),
-        ("X-Request-Id", ask.request),
+        ("X-Request-Id", ask.request_id),
         ("X-Attempt", str(number)),
         ("X-Stonetrack-Instance", instance),
         ("Accept", "application/json" if role is Role.READER else "text/event-stream"),
     ]
     if load_header:
         headers.append(("Endpoint-Load-Metrics-Format", "TEXT"))
-    if ask.key:
-        headers.append(("Idempotency-Key", ask.key))
+    if ask.idempotency_key:
+        headers.append(("Idempotency-Key", ask.idempotency_key))
     if acting:
         headers.append(("X-Stonetrack-Acting", acting))
     if place:
-        headers.append(("X-Held-Place", ask.request))
+        headers.append(("X-Held-Place", ask.request_id))
     return writer.request("POST", CHAT, headers, _encode(body))
 
 
 class Exchange:
-    """Reads one answer; see the table above.  Feed it until it gives an ``Over``."""
+    """Reads one answer; see the table above.  Feed it until it gives an ``AttemptResult``."""
 
     __slots__ = (
         "_body",
@@ -169,7 +169,7 @@
             return
         self._over = True
         report = load.from_header(self._head.headers.get(load.HEADER)) if self._head is not None else None
-        events.append(Over(outcome, report=report, **more))
+        events.append(AttemptResult(outcome, report=report, **more))
 
     def _take(self, event: http1.Event, events: list[AttemptEvent]) -> None:
         if isinstance(event, http1.ResponseHead):
@@ -217,7 +217,7 @@
         if type(choices) is list and "error" not in raw and all(map(_is_object, choices)):
             if not self.began:
                 self.began = True
-                events.append(Began())
+                events.append(AnswerStarted())
             extra = {k: raw[k] for k in _EXTRA if k in raw} if len(raw) > 5 else {}
             events.append(Choices(choices, usage if type(usage) is dict else None, extra))
         elif "error" in raw:
--- a/stonetrack/engines/releasing.py
+++ b/stonetrack/engines/releasing.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from stonetrack.engines.releases import Heard, Item, ReleaseBook
-from stonetrack.node.threads import lasting
+from stonetrack.node.threads import restarting_thread
 
 SECOND = 1e9
 
@@ -32,7 +32,7 @@
         self.book = ReleaseBook(within, most_away=max(1, threads - 1), seed=seed)
         self.changed = threading.Condition(threading.Lock())  # guards the book; told of every change
         self._stopping = False
-        self._threads = [lasting(f"releases-{n}", self._run, log) for n in range(threads)]
+        self._threads = [restarting_thread(f"releases-{n}", self._run, log) for n in range(threads)]
 
     def start(self) -> None:
         """Start the threads."""
--- a/stonetrack/frontend/__init__.py
+++ b/stonetrack/frontend/__init__.py
@@ -2,6 +2,7 @@
 
 :mod:`.host` holds the sockets and threads, :mod:`.app` the routes, :mod:`.chat` and :mod:`.kserve` one API each; what a
 request means (:mod:`.classify`, :mod:`.auth`) and what an answer looks like (:mod:`.answers`) is free of I/O.
-Inputs: connections.  Outputs: an ``Ask`` to the node, and what the node's answer looks like in the client's API.
+Inputs: connections.  Outputs: an ``InferenceRequest`` to the node, and what the node's answer looks like in the
+client's API.
 Must not depend on: engines, their protocol, or any choice of the router.
 """
--- a/stonetrack/frontend/admission.py
+++ b/stonetrack/frontend/admission.py
@@ -12,7 +12,7 @@
 from stonetrack.frontend.service import Record, Service
 from stonetrack.frontend.sinks import HttpSink
 from stonetrack.node import ports
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 from stonetrack.settings.schema import Node
 from stonetrack.wire.http1 import Headers
 
@@ -74,7 +74,7 @@
 
     def ask(
         self, request_id: str, request: Request, tenant: int, parsed: Asked, body: dict[str, Any], whole: bool
-    ) -> ports.Ask:
+    ) -> ports.InferenceRequest:
         """The node's view of a chat; ``body`` is what the engines are sent.  Raises ApiError."""
         settings, headers = self.service.settings, request.head.headers
         of, hash_key = self._keyed
@@ -94,7 +94,7 @@
                 400, "header idempotency-key: at most 255 characters", param=classify.KEY_HEADER, code="invalid_value"
             )
         retried = headers.get("x-stainless-retry-count")
-        return ports.Ask(
+        return ports.InferenceRequest(
             request_id,
             class_index,
             classify.session_of(names, tenant, hash_key),
@@ -106,35 +106,35 @@
             parsed.max_completion_tokens or parsed.max_tokens or 0,
             tenant,
             key,
-            whole=whole,
+            buffered=whole,
             repeated=retried.isdecimal() and retried != "0",
-            under=settings,
+            settings=settings,
         )
 
-    def run(self, front: str, ask: ports.Ask, sink: HttpSink, waker: Waker, arrived: int) -> bool:
+    def run(self, front: str, ask: ports.InferenceRequest, sink: HttpSink, waker: Waker, arrived: int) -> bool:
         """Serve and record; whether the connection may be kept."""
         life = self.service.serve(ask, sink, waker)  # type: ignore[arg-type]
         now = time.monotonic_ns()
-        under: Node = ask.under or self.service.settings
+        under: Node = ask.settings or self.service.settings
         self.service.record(
             Record(
                 front,
-                ask.request,
+                ask.request_id,
                 under.classes[ask.class_index].name,
                 under.tenants[ask.tenant].name if under.tenants else "",
                 sink.status,
-                "gone" if life.gone else sink.ended,
+                "gone" if life.client_gone else sink.ended,
                 now - arrived,
                 sink.first - arrived if sink.first >= 0 else -1,
-                life.number + 1,
+                life.attempt_number + 1,
                 sink.usage,
             )
         )
-        return sink.keep and not life.gone
+        return sink.keep and not life.client_gone
 
-    def flags(self, ask: ports.Ask) -> tuple[bool, bool]:
+    def flags(self, ask: ports.InferenceRequest) -> tuple[bool, bool]:
         """For errors: whether the tenant has a share, and whether a repeat after a failure does no harm."""
-        settings: Node = ask.under or self.service.settings  # classes may have gone meanwhile
+        settings: Node = ask.settings or self.service.settings  # classes may have gone meanwhile
         limited = bool(settings.tenants and settings.tenants[ask.tenant].quota_per_second)
         return limited, settings.classes[ask.class_index].effect is Effect.SAFE
 
--- a/stonetrack/frontend/app.py
+++ b/stonetrack/frontend/app.py
@@ -11,7 +11,7 @@
 from stonetrack.frontend.host import plain
 from stonetrack.frontend.kserve import PREFIX, KServe
 from stonetrack.frontend.service import Service
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 
 _encode = msgspec.json.Encoder().encode
 
@@ -33,7 +33,7 @@
         self.kserve = KServe(admission)
 
     def handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
-        """Answer one request; whether the connection may be kept.  Raises ClientLost."""
+        """Answer one request; whether the connection may be kept.  Raises ClientDisconnected."""
         head = request.head
         try:
             return self._route(connection, request, waker)
--- a/stonetrack/frontend/chat.py
+++ b/stonetrack/frontend/chat.py
@@ -20,7 +20,7 @@
 from stonetrack.frontend.host import plain
 from stonetrack.frontend.sinks import EventSink, HttpSink, WholeSink
 from stonetrack.node import ports
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 
 RESERVED = "kv_transfer_params"
 _encode = msgspec.json.Encoder().encode
@@ -108,7 +108,7 @@
 
     chunks: Chunks
 
-    def piece(self, piece: ports.Choices) -> None:
+    def send_part(self, piece: ports.Choices) -> None:
         """See ``ports.Sink``."""
         if data := self.chunks.chunk(piece):
             self.event(data)
@@ -124,11 +124,11 @@
 
     whole: Whole
 
-    def piece(self, piece: ports.Choices) -> None:
+    def send_part(self, piece: ports.Choices) -> None:
         """See ``ports.Sink``."""
         self.whole.add(piece)
         if self.whole.size > self.most:
-            raise ports.ClientLost(f"an answer over {self.most} bytes")
+            raise ports.ClientDisconnected(f"an answer over {self.most} bytes")
 
     def complete(self) -> None:
         """See ``HttpSink``."""
--- a/stonetrack/frontend/connection.py
+++ b/stonetrack/frontend/connection.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from stonetrack.node import sockets
-from stonetrack.node.ports import ClientLost
+from stonetrack.node.ports import ClientDisconnected
 from stonetrack.wire import http1
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -114,12 +114,12 @@
     # Writing.  Nothing blocks but :meth:`drain`.
 
     def write(self, data: bytes) -> None:
-        """Send what the socket takes, keep the rest as pending.  Raises ClientLost.
+        """Send what the socket takes, keep the rest as pending.  Raises ClientDisconnected.
 
         While ``corked``, all is kept: several events that came together leave in one call.
         """
         if self.closed:
-            raise ClientLost("closed")
+            raise ClientDisconnected("closed")
         self.answering = True
         if not self.pending and not self.corked:
             sent = self._send(data)
@@ -132,15 +132,15 @@
         """Bytes that the socket took; none where it has no room, or this machine none for the moment."""
         try:
             return sockets.send(self.sock, data)
-        except (BlockingIOError, sockets.MachineShort):
+        except (BlockingIOError, sockets.ResourceExhausted):
             return 0
         except OSError as error:
-            raise ClientLost(str(error)) from None
+            raise ClientDisconnected(str(error)) from None
 
     def flush(self) -> int:
-        """Send of the pending what the socket takes; bytes left.  Raises ClientLost."""
+        """Send of the pending what the socket takes; bytes left.  Raises ClientDisconnected."""
         if self.closed:
-            raise ClientLost("closed")
+            raise ClientDisconnected("closed")
         while self.pending:
             sent = self._send(self.pending)
             if not sent:
@@ -149,7 +149,7 @@
         return len(self.pending)
 
     def drain(self, stall: float) -> None:
-        """Wait until all pending is taken; gives up after so many seconds without progress.  Raises ClientLost."""
+        """Wait until all pending is taken, for so many seconds without progress at most.  Raises ClientDisconnected."""
         poller = select.poll()
         poller.register(self.sock.fileno(), select.POLLOUT)
         progress, left = time.monotonic(), len(self.pending)
@@ -158,7 +158,7 @@
                 progress, left = time.monotonic(), len(self.pending)
             until = progress + stall - time.monotonic()
             if until <= 0 or not sockets.poll(poller, until * 1000.0):
-                raise ClientLost("the client takes nothing")
+                raise ClientDisconnected("the client takes nothing")
 
     # Closing.
 
--- a/stonetrack/frontend/host.py
+++ b/stonetrack/frontend/host.py
@@ -29,10 +29,10 @@
 
 from stonetrack.frontend.connection import Connection, HostState, Request
 from stonetrack.node import sockets
-from stonetrack.node.drive import Waker
-from stonetrack.node.ports import ClientLost
-from stonetrack.node.system_errors import Call, Meaning, meaning
-from stonetrack.node.threads import lasting
+from stonetrack.node.ports import ClientDisconnected
+from stonetrack.node.request_runner import Waker
+from stonetrack.node.system_errors import ErrorClass, SystemCall, classify_error
+from stonetrack.node.threads import restarting_thread
 from stonetrack.settings.schema import Limits, Timing
 from stonetrack.wire import http1, writer
 from stonetrack.wire.errors import ProtocolError
@@ -91,8 +91,8 @@
         self._wakers = 0  # with descriptors
         self._spare: int | None = None
         self._said = 0.0  # when the log was told of missing descriptors
-        self._accepted = lasting("accept", self._accept, log)
-        self._parking = lasting("park", self._park, log)
+        self._accepted = restarting_thread("accept", self._accept, log)
+        self._parking = restarting_thread("park", self._park, log)
         self._done = threading.Event()
 
     def start(self) -> None:
@@ -139,9 +139,9 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if meaning(Call.ACCEPT, error) is Meaning.DEFECT:
+                if classify_error(SystemCall.ACCEPT, error) is ErrorClass.DEFECT:
                     raise
-                if meaning(Call.ACCEPT, error) is Meaning.MACHINE:
+                if classify_error(SystemCall.ACCEPT, error) is ErrorClass.LOCAL:
                     self._accept_spare(error)
 
     @property
@@ -187,10 +187,10 @@
             try:
                 sock = sockets.accept(self.listener)
             except OSError as error:
-                match meaning(Call.ACCEPT, error):
-                    case Meaning.MACHINE:
+                match classify_error(SystemCall.ACCEPT, error):
+                    case ErrorClass.LOCAL:
                         self._accept_spare(error)
-                    case Meaning.DEFECT if not self.state.draining:
+                    case ErrorClass.DEFECT if not self.state.draining:
                         raise  # the listening socket is of no use any more: started again, and then the process ends
                 continue
             self._admit(sock)
@@ -204,10 +204,10 @@
         else:
             self._turn_away(sock, f"all {self.limits.connections} connections are taken")
             return
-        sockets.no_delay(sock)
+        sockets.set_no_delay(sock)
         if self.limits.socket_send_bytes:
             with contextlib.suppress(OSError):
-                sockets.SYSTEM.option(sock, socket.SOL_SOCKET, socket.SO_SNDBUF, self.limits.socket_send_bytes)
+                sockets.SYSTEM.set_option(sock, socket.SOL_SOCKET, socket.SO_SNDBUF, self.limits.socket_send_bytes)
         try:
             connection = Connection(sock, self._wire, self.state)
         except MemoryError:
@@ -248,7 +248,7 @@
     def _park(self) -> None:
         looked = 0.0
         while not self._done.is_set():
-            ready = sockets.patiently(Call.POLL, lambda: self._epoll.poll(0.25, 256))
+            ready = sockets.call_with_retries(SystemCall.POLL, lambda: self._epoll.poll(0.25, 256))
             with self._lock:
                 if self._sealed:
                     return
@@ -286,7 +286,9 @@
         fd = connection.fileno()
         self._parked[fd] = connection
         try:
-            sockets.patiently(Call.POLL, lambda: self._epoll.register(fd, select.EPOLLIN | select.EPOLLRDHUP))
+            sockets.call_with_retries(
+                SystemCall.POLL, lambda: self._epoll.register(fd, select.EPOLLIN | select.EPOLLRDHUP)
+            )
         except OSError as error:
             self._log(f"a client's connection can't be watched: {error}")
             self._refuse_and_close(connection, 503, "this instance is short of means")
@@ -355,7 +357,7 @@
 
     def _refuse_and_close(self, connection: Connection, status: int, why: str) -> None:
         """Answer and close at once, where there is no room to wait for what the client still sends."""
-        with contextlib.suppress(ClientLost, MemoryError):
+        with contextlib.suppress(ClientDisconnected, MemoryError):
             connection.write(self._refuse(status, why))
         self._close_answered(connection)
 
@@ -371,7 +373,7 @@
             return
         try:
             data = sockets.receive(connection.sock, _READ)
-        except (BlockingIOError, sockets.MachineShort):
+        except (BlockingIOError, sockets.ResourceExhausted):
             return  # it is still readable, and looked at again
         except OSError:
             data = b""
@@ -383,7 +385,7 @@
         except ProtocolError as error:
             self._reject(connection, error.status, str(error))
             return
-        except ClientLost:
+        except ClientDisconnected:
             self._reset(connection)
             return
         self._count_body(connection)
@@ -404,7 +406,7 @@
         try:
             connection.write(self._refuse(status, why))
             connection.sock.shutdown(socket.SHUT_WR)
-        except (ClientLost, OSError):
+        except (ClientDisconnected, OSError):
             self._reset(connection)
             return
         connection.lingers_until = time.monotonic_ns() + _LINGER_CLOSE
@@ -418,7 +420,7 @@
                 if not sockets.receive(connection.sock, 262_144):
                     self._close(connection)
                     return
-        except (BlockingIOError, sockets.MachineShort):
+        except (BlockingIOError, sockets.ResourceExhausted):
             pass
         except OSError:
             self._close(connection)
@@ -515,7 +517,7 @@
         try:
             keep = self._handle(connection, request, waker)
             connection.drain(self.timing.client_stall_ms / 1000.0)
-        except ClientLost:
+        except ClientDisconnected:
             self._reset(connection)
             return False
         except Exception as error:  # a defect, or memory short: this client alone is told so
@@ -523,7 +525,7 @@
             if connection.answering:
                 self._reset(connection)
             else:
-                short = isinstance(error, (MemoryError, sockets.MachineShort))
+                short = isinstance(error, (MemoryError, sockets.ResourceExhausted))
                 status = 503 if short else 500
                 self._refuse_and_close(connection, status, "this instance could not serve the request")
             return False
@@ -546,9 +548,9 @@
         except ProtocolError as error:
             self._reject(connection, error.status, str(error))
             return None
-        except (BlockingIOError, sockets.MachineShort):
+        except (BlockingIOError, sockets.ResourceExhausted):
             following = None
-        except (OSError, ClientLost):
+        except (OSError, ClientDisconnected):
             self._close(connection)
             return None
         if following is None:
--- a/stonetrack/frontend/kserve.py
+++ b/stonetrack/frontend/kserve.py
@@ -20,7 +20,7 @@
 from stonetrack.frontend.host import plain
 from stonetrack.frontend.sinks import EventSink, HttpSink, WholeSink
 from stonetrack.node import ports
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 
 _encode = msgspec.json.Encoder().encode
 PREFIX = "/v2"
@@ -71,7 +71,7 @@
 class GenerateStream(_Body, EventSink):
     """``generate_stream``: an event for each part, the connection's end or the last chunk after the last."""
 
-    def piece(self, piece: ports.Choices) -> None:
+    def send_part(self, piece: ports.Choices) -> None:
         """See ``ports.Sink``."""
         self.usage = piece.usage or self.usage
         if text := _text(piece):
@@ -90,14 +90,14 @@
         self.parts: list[str] = []
         self.size = 0
 
-    def piece(self, piece: ports.Choices) -> None:
+    def send_part(self, piece: ports.Choices) -> None:
         """See ``ports.Sink``."""
         self.usage = piece.usage or self.usage
         text = _text(piece)
         self.parts.append(text)
         self.size += len(text)
         if self.size > self.most:
-            raise ports.ClientLost(f"an answer over {self.most} bytes")
+            raise ports.ClientDisconnected(f"an answer over {self.most} bytes")
 
     def complete(self) -> None:
         """See ``HttpSink``."""
--- a/stonetrack/frontend/service.py
+++ b/stonetrack/frontend/service.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from stonetrack.node.drive import Waker
-from stonetrack.node.life import Life
-from stonetrack.node.ports import Ask, Sink
+from stonetrack.node.ports import InferenceRequest, Sink
+from stonetrack.node.request_lifecycle import RequestLifecycle
+from stonetrack.node.request_runner import Waker
 from stonetrack.settings.schema import Node
 
 
@@ -42,7 +42,7 @@
     def draining(self) -> bool:
         """Whether the instance is about to stop."""
 
-    def serve(self, ask: Ask, sink: Sink, waker: Waker) -> Life:
+    def serve(self, ask: InferenceRequest, sink: Sink, waker: Waker) -> RequestLifecycle:
         """Run one request to its end."""
 
     def clock(self) -> int:
--- a/stonetrack/frontend/waiting.py
+++ b/stonetrack/frontend/waiting.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from stonetrack.frontend.connection import Connection
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 
 _GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
--- a/stonetrack/node/core.py
+++ b/stonetrack/node/core.py
@@ -1,12 +1,12 @@
 """Where events meet the router: one at a time, in one order.
 
-The order.  ``tell`` takes a lock, reads the clock, hands the event to ``Router.handle`` and sorts its actions into
-the mailboxes of the requests they are for, then lets go.  So events are ordered by who takes the lock first, their
+The order.  ``handle_event`` takes a lock, reads the clock, hands the event to ``Router.handle`` and sorts its actions
+into the mailboxes of the requests they are for, then lets go.  So events are ordered by who takes the lock first, their
 times never step back, and a request's mailbox holds its commands in the order they were decided.  Nothing blocks
 under the lock: no socket is touched there, and the router is pure.
 
 Each request is run by one thread, which alone touches its sockets.  A command decided in another thread (a sweep, a
-server list) wakes it through ``Ticket.wake``.
+server list) wakes it through ``Mailbox.wake``.
 """
 
 from __future__ import annotations
@@ -19,31 +19,31 @@
 from typing import Protocol
 
 from stonetrack import api
-from stonetrack.node.ports import Ask
-from stonetrack.node.threads import lasting
+from stonetrack.node.ports import InferenceRequest
+from stonetrack.node.threads import restarting_thread
 
-AGAIN = 100_000_000  # nanoseconds after which a timer fires again that failed
+TIMER_RETRY_NS = 100_000_000  # nanoseconds after which a timer fires again that failed
 
 
-class Decider(Protocol):
+class RouterProtocol(Protocol):
     """What the core needs of ``stonetrack.logic.Router``."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         """Take one event; the actions to carry out."""
 
 
-class Ticket:
+class Mailbox:
     """One request's mailbox."""
 
-    __slots__ = ("acting", "blocked", "commands", "owner", "released", "request", "wake")
+    __slots__ = ("acting_version", "owner_blocked", "actions", "thread_id", "released", "request_id", "wake")
 
-    def __init__(self, request: str, wake: Callable[[], None]) -> None:
-        self.request = request
-        self.commands: deque[api.Action] = deque()
-        self.owner = threading.get_ident()
+    def __init__(self, request_id: str, wake: Callable[[], None]) -> None:
+        self.request_id = request_id
+        self.actions: deque[api.Action] = deque()
+        self.thread_id = threading.get_ident()
         self.wake = wake
-        self.acting = ""  # what its last send was decided with
-        self.blocked = False  # its thread is in a call that may last, and carries out nothing meanwhile
+        self.acting_version = ""  # what its last send was decided with
+        self.owner_blocked = False  # its thread is in a call that may last, and carries out nothing meanwhile
         self.released = False  # a release was carried out in its place, since it was last unblocked
 
 
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        router: Decider,
+        router: RouterProtocol,
         clock: Callable[[], int],
         *,
         log: Callable[[str], None],
@@ -60,20 +60,20 @@
         subscribe: Callable[[], None] = lambda: None,
         release: Callable[[str], None] | None = None,
         record: Callable[[int, api.Event, list[api.Action]], None] | None = None,
-        acting: Callable[[], str] | None = None,
+        acting_version: Callable[[], str] | None = None,
     ) -> None:
         self.clock = clock
-        self._acting = acting  # asked under the lock, at each decision to send
+        self._acting_version = acting_version  # asked under the lock, at each decision to send
         self.router = router
         self._log, self._probe, self._subscribe = log, probe, subscribe
         self._release = release  # carries out a release at once, by request, where that needs nothing of its thread
         self._record = record  # told of every call under the lock; must not wait
         self._lock = threading.Lock()
-        self._tickets: dict[str, Ticket] = {}
+        self._mailboxes: dict[str, Mailbox] = {}
         self._closed: dict[str, int] = {}  # servers that the list told of as leaving: when
         self.events: Counter[str] = Counter()
         self.actions: Counter[str] = Counter()
-        self._timers = Timers(lambda token: self.tell(api.TimerFired(token)), log)
+        self._timers = Timers(lambda token: self.handle_event(api.TimerFired(token)), log)
 
     def start(self) -> None:
         """Start the timer thread."""
@@ -86,42 +86,42 @@
     @property
     def open_requests(self) -> int:
         """Requests taken and not yet over."""
-        return len(self._tickets)
+        return len(self._mailboxes)
 
-    def arrive(self, ask: Ask, wake: Callable[[], None]) -> Ticket:
+    def accept_request(self, request: InferenceRequest, wake: Callable[[], None]) -> Mailbox:
         """Take a request: from now on it is owed one final answer."""
-        ticket = Ticket(ask.request, wake)
-        self.tell(
+        mailbox = Mailbox(request.request_id, wake)
+        self.handle_event(
             api.RequestArrived(
-                ask.request,
-                ask.class_index,
-                ask.session,
-                ask.time_left,
-                ask.prompt_tokens,
-                ask.shared_beginning,
-                ask.shared_tokens,
-                ask.max_answer_tokens,
-                ask.tenant,
-                repeated=ask.repeated,
+                request.request_id,
+                request.class_index,
+                request.session,
+                request.time_left,
+                request.prompt_tokens,
+                request.shared_prefix,
+                request.shared_tokens,
+                request.max_answer_tokens,
+                request.tenant,
+                repeated=request.repeated,
             ),
-            ticket,
+            mailbox,
         )
-        return ticket
+        return mailbox
 
-    def acting_of(self, request: str) -> str:
+    def acting_version_of(self, request_id: str) -> str:
         """What a request's last send was decided with; empty where nobody asks for it."""
-        ticket = self._tickets.get(request)
-        return ticket.acting if ticket is not None else ""
+        mailbox = self._mailboxes.get(request_id)
+        return mailbox.acting_version if mailbox is not None else ""
 
-    def still(self, do: Callable[[], None]) -> None:
+    def run_exclusively(self, do: Callable[[], None]) -> None:
         """Do something between two events; it must be quick."""
         with self._lock:
             do()
 
-    def leave(self, ticket: Ticket) -> None:
+    def finish_request(self, mailbox: Mailbox) -> None:
         """The request is over; its mailbox is closed."""
         with self._lock:
-            self._tickets.pop(ticket.request, None)
+            self._mailboxes.pop(mailbox.request_id, None)
 
     def may_send(self, server: str) -> bool:
         """Whether the last list that came still has the server up.
@@ -138,15 +138,15 @@
         since = self._closed.get(server)
         return 0 if since is None else max(1, self.clock() - since)
 
-    def tell(self, event: api.Event, ticket: Ticket | None = None) -> None:
+    def handle_event(self, event: api.Event, mailbox: Mailbox | None = None) -> None:
         """Hand one event to the router and its actions to those who carry them out."""
         me = threading.get_ident()
-        woken: list[Ticket] = []
+        woken: list[Mailbox] = []
         outside: list[api.Action] = []
         with self._lock:
             now = self.clock()
-            if ticket is not None:
-                self._tickets[ticket.request] = ticket
+            if mailbox is not None:
+                self._mailboxes[mailbox.request_id] = mailbox
             if isinstance(event, api.ServerList):
                 self._note_list(event, now)
             actions = self.router.handle(now, event)
@@ -159,15 +159,15 @@
                     self._timers.add(action.token, action.delay)
                 elif isinstance(action, (api.Probe, api.Log, api.Subscribe)):
                     outside.append(action)
-                elif (owner := self._tickets.get(action.request)) is not None:
-                    owner.commands.append(action)
-                    if isinstance(action, api.Release) and owner.blocked and self._release is not None:
+                elif (owner := self._mailboxes.get(action.request)) is not None:
+                    owner.actions.append(action)
+                    if isinstance(action, api.Release) and owner.owner_blocked and self._release is not None:
                         # A thread told is not a release sent: its thread may connect for longer than is left.
                         owner.released = True
                         outside.append(action)
-                    if self._acting is not None and isinstance(action, api.Send):
-                        owner.acting = self._acting()
-                    if owner.owner != me and (not woken or woken[-1] is not owner):
+                    if self._acting_version is not None and isinstance(action, api.Send):
+                        owner.acting_version = self._acting_version()
+                    if owner.thread_id != me and (not woken or woken[-1] is not owner):
                         woken.append(owner)
         for each in woken:
             each.wake()
@@ -207,7 +207,7 @@
         self._count = 0
         self._changed = threading.Condition(threading.Lock())
         self._stopping = False
-        self._thread = lasting("timers", self._run, log)
+        self._thread = restarting_thread("timers", self._run, log)
 
     def start(self) -> None:
         """Start the thread."""
@@ -244,4 +244,4 @@
                 self._fire(token)
             except Exception as error:  # a router that failed once still needs its timers
                 self._log(f"timer {token}: {type(error).__name__}: {error}; it fires again")
-                self.add(token, AGAIN)
+                self.add(token, TIMER_RETRY_NS)
--- a/stonetrack/node/invariants.py
+++ b/stonetrack/node/invariants.py
@@ -116,7 +116,7 @@
                 self._ended(step)
             case Step.RELEASE_DECIDED:
                 self._release_at = step.at
-            case Step.RELEASE_HEARD if step.decided >= self._held_since:
+            case Step.RELEASE_HEARD if step.decided_at >= self._held_since:
                 self._let_go()
             case Step.CLIENT_GONE:
                 self._gone_at = self._gone_at or step.at
@@ -152,7 +152,7 @@
         if self._out >= 0:
             text = f"attempt {step.attempt} begins while {self._out} is out"
             found.append(self._broken(Invariant.NO_SECOND_EFFECT, step.at, text))
-        if self._effect is Effect.UNSAFE and self._may_have_run and not step.reads:
+        if self._effect is Effect.UNSAFE and self._may_have_run and not step.is_prefill:
             found.append(self._broken(Invariant.NO_SECOND_EFFECT, step.at, "repeated though it may have run"))
         if self._gone_at and step.at > self._gone_at + LEFT_SLACK:
             text = f"begun {(step.at - self._gone_at) / 1e9:.3f} s after the client left"
@@ -160,10 +160,10 @@
         if step.closed_for > CLOSED_SLACK:
             text = f"{step.engine} is closed for {step.closed_for / 1e9:.3f} s"
             found.append(self._broken(Invariant.NOTHING_TO_A_CLOSED_ENGINE, step.at, text))
-        if step.time_told > max(self._deadline - step.at, 0) + TOLD_SLACK:
-            text = f"told {step.time_told / 1e9:.3f} s of {(self._deadline - step.at) / 1e9:.3f} s left"
+        if step.propagated_time > max(self._deadline - step.at, 0) + TOLD_SLACK:
+            text = f"told {step.propagated_time / 1e9:.3f} s of {(self._deadline - step.at) / 1e9:.3f} s left"
             found.append(self._broken(Invariant.TIME_TOLD, step.at, text))
-        self._out, self._reads, self._sent_at = step.attempt, step.reads, step.at
+        self._out, self._reads, self._sent_at = step.attempt, step.is_prefill, step.at
         return found
 
     def _ended(self, step: Transition) -> None:
--- a/stonetrack/node/obligations.py
+++ b/stonetrack/node/obligations.py
@@ -53,7 +53,7 @@
         "the last byte of a request is read on a connection that this machine accepted",
         "the last byte of its final answer is written, or its client closes or resets",
         "the client's time, and 0.5 s in which it only earns nothing",
-        (LOGIC + "_give_up", "stonetrack.node.life:Life.time"),
+        (LOGIC + "_give_up", "stonetrack.node.request_lifecycle:RequestLifecycle.check_deadlines"),
         (LEDGER + "check", ORACLE + "_answers"),
     ),
     Row(
@@ -62,7 +62,11 @@
         "its engine's whole answer or the connection's end; a close or an end of sending gives it up, and ends nothing "
         "at its engine",
         "the time that it told its engine",
-        (LOGIC + "_call_off", "stonetrack.node.life:Life.time", "stonetrack.engines.attempt:SocketAttempt.abort"),
+        (
+            LOGIC + "_call_off",
+            "stonetrack.node.request_lifecycle:RequestLifecycle.check_deadlines",
+            "stonetrack.engines.attempt:SocketAttempt.abort",
+        ),
         (LEDGER + "may_begin", ORACLE + "_effects"),
     ),
     Row(
--- a/stonetrack/node/ports.py
+++ b/stonetrack/node/ports.py
@@ -16,27 +16,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class InferenceRequest:
     """One request as a front hands it over.
 
     ``body`` is the request in the form that its front and its engines' side agree on; the node never looks into it.
     ``time_left`` is how long the client waits for a first token, margin for the answer's way already off.
     """
 
-    request: str
+    request_id: str
     class_index: int
     session: str
     time_left: int
     prompt_tokens: int
     body: Any
-    shared_beginning: str | None = None
+    shared_prefix: str | None = None
     shared_tokens: int = 0
     max_answer_tokens: int = 0
     tenant: int = 0
-    key: str = ""  # the client's idempotency key
-    whole: bool = False  # the client sees nothing before the whole answer, which is then due in ``time_left``
+    idempotency_key: str = ""  # the client's idempotency key
+    buffered: bool = False  # the client sees nothing before the whole answer, which is then due in ``time_left``
     repeated: bool = False
-    under: Any = None  # the settings that the front read it by, where these may change meanwhile
+    settings: Any = None  # the settings that the front read it by, where these may change meanwhile
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,18 +52,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class AnswerStarted:
     """The answer has begun."""
 
 
-class Piece:
+class AnswerPart:
     """A part of the answer, in the form that its engines' side and its front agree on; opaque to the node."""
 
     __slots__ = ()
 
 
 @dataclass(slots=True)
-class Choices(Piece):
+class Choices(AnswerPart):
     """A part of a chat: the choices as the engine sent them (index, delta, finish_reason, …) and the rest."""
 
     choices: list[dict[str, Any]]
@@ -72,14 +72,14 @@
 
 
 @dataclass(slots=True)
-class Passed(Piece):
+class RawEvents(AnswerPart):
     """A part of a stream that is passed on unchanged: whole events as bytes."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class AttemptResult:
     """The attempt's one outcome.
 
     ``state`` is what a reader returned for the writer, opaque to the node; ``rejection`` an engine's own answer
@@ -95,7 +95,7 @@
     rejection: tuple[int, dict[str, Any]] | None = None
 
 
-AttemptEvent = Began | Piece | Over
+AttemptEvent = AnswerStarted | AnswerPart | AttemptResult
 
 
 # Final answers.
@@ -140,7 +140,7 @@
 Final = Served | Refused | Failed | Broken | Rejected
 
 
-class ClientLost(ConnectionError):
+class ClientDisconnected(ConnectionError):
     """The client's connection is gone."""
 
 
@@ -151,19 +151,19 @@
         """The client's descriptor, watched for leaving and for room."""
 
     def begin(self) -> None:
-        """The answer begins.  Raises ClientLost."""
+        """The answer begins.  Raises ClientDisconnected."""
 
-    def piece(self, piece: Piece) -> None:
-        """A part of it.  Raises ClientLost."""
+    def send_part(self, part: AnswerPart) -> None:
+        """A part of it.  Raises ClientDisconnected."""
 
     def finish(self, final: Final) -> None:
-        """The one final answer.  Raises ClientLost."""
+        """The one final answer.  Raises ClientDisconnected."""
 
     def cork(self, on: bool) -> None:
         """While on, what is given is kept as pending; the caller flushes after."""
 
     def flush(self) -> int:
-        """Write what the socket takes; bytes still pending.  Raises ClientLost."""
+        """Write what the socket takes; bytes still pending.  Raises ClientDisconnected."""
 
     @property
     def pending(self) -> int:
@@ -177,10 +177,10 @@
         """Its descriptor, or -1 where it is over."""
 
     @property
-    def writing(self) -> bool:
+    def has_unsent_data(self) -> bool:
         """Whether part of the request waits for room in the socket."""
 
-    def ready(self) -> list[AttemptEvent]:
+    def process_io(self) -> list[AttemptEvent]:
         """Take what the socket gives and write what it takes, without blocking."""
 
     def abort(self) -> None:
@@ -192,23 +192,31 @@
 
     def start(
         self,
-        ask: Ask,
+        request: InferenceRequest,
         server: str,
-        number: int,
+        attempt_number: int,
         state: Any,
-        place: bool,
+        reserved: bool,
         may_send: Callable[[str], bool],
-    ) -> Attempt | Over:
+    ) -> Attempt | AttemptResult:
         """Connect and begin sending; Over where it ended at once.  May block for the connect time-out.
 
         ``may_send`` is asked again right before the first byte is written.
         """
 
-    def hold(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
+    def reserve(self, request_id: str, server: str, attempt_number: int, callback: Callable[[bool], None]) -> None:
         """Ask a writer for a place, in the background, during attempt ``number``; ``answer`` gets whether it holds
         one.  A place that comes after the request went on is let go of by the engines' side itself."""
 
-    def release(self, request: str, reader: str, state: Any, place: str, number: int, rest: bool) -> None:
+    def release(
+        self,
+        request_id: str,
+        prefill_server: str,
+        state: Any,
+        decode_server: str,
+        attempt_number: int,
+        state_remains: bool,
+    ) -> None:
         """Let go of a state and a place, in the background, with repeats within the time allowed.
 
         What attempts after ``number`` brought about stays.  An engine that holds no states is not called.  With
--- a/stonetrack/node/records.py
+++ b/stonetrack/node/records.py
@@ -15,10 +15,10 @@
 from stonetrack.node.invariants import Invariant, Ledger, Refusal, Violation
 from stonetrack.node.transitions import Step, Transition
 
-MOST_RECORDS = 4_096  # past that the oldest are forgotten first
-MOST_STEPS = 48  # of one request in its log line, the first and the last
+MAX_RECORDS = 4_096  # past that the oldest are forgotten first
+MAX_STEPS = 48  # of one request in its log line, the first and the last
 SECOND = 1_000_000_000
-LINES_A_SECOND = 20  # log lines of requests; those beyond are counted
+MAX_LINES_PER_SECOND = 20  # log lines of requests; those beyond are counted
 
 
 @dataclass(slots=True)
@@ -30,21 +30,21 @@
     arrived: int
     ledger: Ledger
     steps: list[Transition] = field(default_factory=list)
-    over: bool = False  # its thread has left it
+    closed: bool = False  # its thread has left it
     violations: list[Violation] = field(default_factory=list)
     logged: bool = False
 
     def text(self) -> str:
         """The log line."""
         steps = self.steps
-        if len(steps) > MOST_STEPS:
-            steps = steps[: MOST_STEPS // 2] + steps[-MOST_STEPS // 2 :]
+        if len(steps) > MAX_STEPS:
+            steps = steps[: MAX_STEPS // 2] + steps[-MAX_STEPS // 2 :]
         told = "; ".join(step.text(self.arrived) for step in steps)
         broken = "".join(f"; INVARIANT {v.invariant.value} {v.invariant.name}: {v.text}" for v in self.violations)
         return f"request {self.request} {self.kind} at {self.arrived / SECOND:.3f}: {told}{broken}"
 
     @property
-    def odd(self) -> bool:
+    def abnormal(self) -> bool:
         """Whether it did not simply go well: an attempt ended without an answer of its engine, it was failed or
         broken, or a release was not heard."""
         return any(
@@ -64,7 +64,7 @@
         self._clock, self._release_within, self._log, self._log_all = clock, release_within, log, log_all
         self._lock = threading.Lock()
         self._records: OrderedDict[str, Record] = OrderedDict()
-        self._lines: deque[int] = deque(maxlen=LINES_A_SECOND)
+        self._lines: deque[int] = deque(maxlen=MAX_LINES_PER_SECOND)
         self.violations: Counter[Invariant] = Counter()
         self.refusals: Counter[Refusal] = Counter()
         self.outcomes: Counter[Outcome] = Counter()
@@ -81,7 +81,7 @@
         record = Record(request, kind, now, Ledger(request, effect, deadline, self._release_within))
         with self._lock:
             self._records[request] = record
-            while len(self._records) > MOST_RECORDS:
+            while len(self._records) > MAX_RECORDS:
                 self._records.popitem(last=False)
         self.note(request, Step.ARRIVED, why=f"{(deadline - now) / SECOND:.3f} s left")
         return record
@@ -94,10 +94,10 @@
         attempt: int = -1,
         outcome: Outcome | None = None,
         why: str = "",
-        reads: bool = False,
+        is_prefill: bool = False,
         state_missing: bool = False,
-        time_told: int = 0,
-        decided: int = 0,
+        propagated_time: int = 0,
+        decided_at: int = 0,
         closed_for: int = 0,
     ) -> None:
         """One step of a request; passed over where it is no longer known."""
@@ -117,15 +117,15 @@
                 attempt,
                 outcome,
                 why,
-                reads,
+                is_prefill,
                 state_missing,
-                time_told,
-                decided,
+                propagated_time,
+                decided_at,
                 closed_for,
             )
             record.steps.append(taken)
             self._count(record, record.ledger.note(taken))
-            done = record.over and record.ledger.settled
+            done = record.closed and record.ledger.settled
             if done:
                 del self._records[request]
         if done:
@@ -146,7 +146,7 @@
         """See :meth:`.invariants.Ledger.needs_state`."""
         with self._lock:
             record = self._records.get(request)
-            return record is not None and not record.over and record.ledger.needs_state(self._clock())
+            return record is not None and not record.closed and record.ledger.needs_state(self._clock())
 
     def close(self, request: str) -> None:
         """The request's thread has left it."""
@@ -154,7 +154,7 @@
             record = self._records.get(request)
             if record is None:
                 return
-            record.over = True
+            record.closed = True
             done = record.ledger.settled
             if done:
                 del self._records[request]
@@ -181,10 +181,10 @@
     def _tell(self, record: Record) -> None:
         """Log a request whose end is worth a line, so many a second; one that broke an invariant always."""
         if not record.violations:
-            if not (self._log_all or record.odd):
+            if not (self._log_all or record.abnormal):
                 return
             now = self._clock()
-            if len(self._lines) == LINES_A_SECOND and now - self._lines[0] < SECOND and not self._log_all:
+            if len(self._lines) == MAX_LINES_PER_SECOND and now - self._lines[0] < SECOND and not self._log_all:
                 self.lines_dropped += 1
                 return
             self._lines.append(now)
--- a/stonetrack/node/life.py
+++ b/stonetrack/node/request_lifecycle.py
@@ -40,70 +40,72 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartAttempt:
     """Start an attempt; ``limit`` in nanoseconds, 0 for none."""
 
     server: str
-    number: int
+    attempt_number: int
     state: Any
-    place: bool
-    limit: int
+    reserved: bool
+    time_limit: int
 
 
 @dataclass(frozen=True, slots=True)
-class Abort:
+class AbortAttempt:
     """Take the attempt out back."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class NotifyRouter:
     """Hand an event to the router."""
 
     event: api.Event
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class StartAnswer:
     """Begin the answer to the client."""
 
 
 @dataclass(slots=True)
-class Deliver:
+class DeliverPart:
     """Hand a piece to the client."""
 
-    piece: ports.Piece
+    piece: ports.AnswerPart
 
 
 @dataclass(frozen=True, slots=True)
-class Finish:
+class FinishAnswer:
     """Give the final answer."""
 
     final: ports.Final
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
+class Reserve:
     """Ask a writer for a place."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
-class LetGo:
+class ReleaseHeld:
     """Release a state at a reader and a place at a writer (empty where there is none).
 
     ``number`` is the last attempt that it is for: what a later attempt brings about stays.  ``rest`` tells that a
     state at a reader stays held for the request.
     """
 
-    reader: str
+    prefill_server: str
     state: Any
-    place: str
-    number: int
-    rest: bool = False
+    decode_server: str
+    attempt_number: int
+    state_remains: bool = False
 
 
-Effect = Start | Abort | Tell | Begin | Deliver | Finish | Hold | LetGo
+SideEffect = (
+    StartAttempt | AbortAttempt | NotifyRouter | StartAnswer | DeliverPart | FinishAnswer | Reserve | ReleaseHeld
+)
 
 
 _UNCERTAIN = frozenset({api.Outcome.RESET, api.Outcome.TIMED_OUT, api.Outcome.CANCELLED, api.Outcome.ERROR})
@@ -113,219 +115,240 @@
     """Where a request stands."""
 
     WAITING = "waiting"  # no attempt out; the router holds it
-    OUT = "out"  # an attempt out, no answer yet
+    IN_FLIGHT = "out"  # an attempt out, no answer yet
     STREAMING = "streaming"  # the client's answer runs
     DONE = "done"  # final answer given or client gone, no attempt out
 
 
-class LifeError(RuntimeError):
+class LifecycleError(RuntimeError):
     """The router and this machine disagree; a defect, never a user's fault."""
 
 
-class Life:
+class RequestLifecycle:
     """One request.  Every method returns effects to be carried out in order."""
 
     __slots__ = (
         "last_why",
-        "ask",
-        "gone",
+        "request",
+        "client_gone",
         "answered",
-        "limit_at",
-        "number",
-        "place",
-        "reader",
+        "attempt_deadline",
+        "attempt_number",
+        "reserved_server",
+        "prefill_server",
         "sent_at",
         "server",
-        "silence",
-        "silent_at",
-        "whole_by",
+        "silence_limit",
+        "silence_deadline",
+        "answer_deadline",
         "stage",
         "state",
         "timed_out",
     )
 
-    def __init__(self, ask: ports.Ask, silence: int, now: int = 0) -> None:
-        self.ask = ask
-        self.whole_by = now + ask.time_left if ask.whole else 0  # when a whole answer is due; 0 for a streamed one
+    def __init__(self, request: ports.InferenceRequest, silence: int, now: int = 0) -> None:
+        self.request = request
+        self.answer_deadline = (
+            now + request.time_left if request.buffered else 0
+        )  # when a whole answer is due; 0 for a streamed one
         self.stage = Stage.WAITING
-        self.gone = False  # the client
+        self.client_gone = False  # the client
         self.answered = False  # a final answer was given
-        self.number = -1  # of the last attempt
+        self.attempt_number = -1  # of the last attempt
         self.server = ""  # of the attempt out
         self.sent_at = 0
-        self.limit_at = 0  # when the attempt out has run out of time; 0 for never
-        self.silence = silence  # longest pause within a stream
-        self.silent_at = 0  # when a stream is silent for too long
-        self.reader = ""
+        self.attempt_deadline = 0  # when the attempt out has run out of time; 0 for never
+        self.silence_limit = silence  # longest pause within a stream
+        self.silence_deadline = 0  # when a stream is silent for too long
+        self.prefill_server = ""
         self.state: Any = None
-        self.place = ""
+        self.reserved_server = ""
         self.timed_out = False  # the last attempt ran out of time: a failure is then a late one
         self.last_why = ""
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """Whether nothing more can happen."""
         return self.stage is Stage.DONE
 
-    def due(self) -> int:
-        """When :meth:`time` must be called next; 0 for never."""
+    def next_deadline(self) -> int:
+        """When :meth:`check_deadlines` must be called next; 0 for never."""
         if self.stage is Stage.STREAMING:
-            return min(self.silent_at, self.whole_by) if self.whole_by else self.silent_at
-        return self.limit_at if self.stage is Stage.OUT else 0
+            return min(self.silence_deadline, self.answer_deadline) if self.answer_deadline else self.silence_deadline
+        return self.attempt_deadline if self.stage is Stage.IN_FLIGHT else 0
 
     # What the router decided.
 
-    def command(self, action: api.Action, now: int) -> list[Effect]:
+    def handle_action(self, action: api.Action, now: int) -> list[SideEffect]:
         """Carry out one action."""
         match action:
             case api.Send(_, server, limit):
-                if self.gone and self.stage is Stage.DONE:
-                    self.number += 1
+                if self.client_gone and self.stage is Stage.DONE:
+                    self.attempt_number += 1
                     ended = api.AttemptEnded(
-                        self.ask.request, self.number, server, api.Outcome.NOT_SENT, 0, finished=True
+                        self.request.request_id, self.attempt_number, server, api.Outcome.NOT_SENT, 0, finished=True
                     )
-                    return [Tell(ended)]
+                    return [NotifyRouter(ended)]
                 if self.stage is not Stage.WAITING or self.answered:
-                    raise LifeError(f"request {self.ask.request}: a send to {server} while {self.stage.value}")
-                self.stage, self.server, self.sent_at = Stage.OUT, server, now
-                self.number += 1
-                self.limit_at = now + limit if limit else 0
+                    raise LifecycleError(
+                        f"request {self.request.request_id}: a send to {server} while {self.stage.value}"
+                    )
+                self.stage, self.server, self.sent_at = Stage.IN_FLIGHT, server, now
+                self.attempt_number += 1
+                self.attempt_deadline = now + limit if limit else 0
                 # The state goes along to any server but the reader that returned it.
-                state = self.state if server != self.reader else None
-                elsewhere = self._let_go_place() if self.place and self.place != server else []
-                return [*elsewhere, Start(server, self.number, state, place=self.place == server, limit=limit)]
+                state = self.state if server != self.prefill_server else None
+                elsewhere = self._let_go_place() if self.reserved_server and self.reserved_server != server else []
+                return [
+                    *elsewhere,
+                    StartAttempt(
+                        server, self.attempt_number, state, reserved=self.reserved_server == server, time_limit=limit
+                    ),
+                ]
             case api.HoldPlace(_, server):
-                if self.stage is not Stage.OUT:
+                if self.stage is not Stage.IN_FLIGHT:
                     return []  # its read was not sent after all: a place would be held for nobody
-                self.place = server
-                return [Hold(server)]
+                self.reserved_server = server
+                return [Reserve(server)]
             case api.Release():
-                return self._let_go(keep=self.stage is Stage.OUT)
+                return self._let_go(keep=self.stage is Stage.IN_FLIGHT)
             case api.Refuse(_, after):
                 return self._final(ports.Refused(after))
             case api.Fail():
                 return self._final(ports.Failed(self.last_why, self.timed_out))
             case api.Cancel(_, number):
-                if self.stage is Stage.OUT and number == self.number:
-                    return [Abort(), *self.attempt(ports.Over(api.Outcome.CANCELLED, "called off"), now)]
+                if self.stage is Stage.IN_FLIGHT and number == self.attempt_number:
+                    return [
+                        AbortAttempt(),
+                        *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "called off"), now),
+                    ]
                 return []
             case _:
                 return []
 
-    def _final(self, final: ports.Final) -> list[Effect]:
+    def _final(self, final: ports.Final) -> list[SideEffect]:
         if self.answered:
-            raise LifeError(f"request {self.ask.request}: a second final answer")
+            raise LifecycleError(f"request {self.request.request_id}: a second final answer")
         self.answered = True
         if self.stage is Stage.WAITING:
             self.stage = Stage.DONE
-        return [] if self.gone else [Finish(final)]
+        return [] if self.client_gone else [FinishAnswer(final)]
 
-    def _let_go(self, keep: bool = False) -> list[Effect]:
+    def _let_go(self, keep: bool = False) -> list[SideEffect]:
         """Release what is held; with ``keep`` an attempt is out that may wait for the state: it is named once more when
         that has ended without a beginning."""
-        if not self.reader and not self.place:
+        if not self.prefill_server and not self.reserved_server:
             return []
-        effect = LetGo(self.reader, self.state, self.place, self.number)
-        self.place = ""
+        effect = ReleaseHeld(self.prefill_server, self.state, self.reserved_server, self.attempt_number)
+        self.reserved_server = ""
         if not keep:
-            self.reader, self.state = "", None
+            self.prefill_server, self.state = "", None
         return [effect]
 
-    def _let_go_place(self) -> list[Effect]:
-        place, self.place = self.place, ""
-        return [LetGo("", None, place, self.number, rest=bool(self.reader))]
+    def _let_go_place(self) -> list[SideEffect]:
+        place, self.reserved_server = self.reserved_server, ""
+        return [ReleaseHeld("", None, place, self.attempt_number, state_remains=bool(self.prefill_server))]
 
     # What happened.
 
-    def attempt(self, event: ports.AttemptEvent, now: int) -> list[Effect]:
+    def handle_attempt_event(self, event: ports.AttemptEvent, now: int) -> list[SideEffect]:
         """Take one event of the attempt out; those that come when none is out are dropped (late bytes)."""
-        if self.stage not in (Stage.OUT, Stage.STREAMING):
+        if self.stage not in (Stage.IN_FLIGHT, Stage.STREAMING):
             return []
-        if isinstance(event, ports.Piece):
-            self.silent_at = now + self.silence
-            return [] if self.gone else [Deliver(event)]
-        if isinstance(event, ports.Began):
-            self.stage, self.silent_at = Stage.STREAMING, now + self.silence
-            self.reader, self.state, self.place = "", None, ""
+        if isinstance(event, ports.AnswerPart):
+            self.silence_deadline = now + self.silence_limit
+            return [] if self.client_gone else [DeliverPart(event)]
+        if isinstance(event, ports.AnswerStarted):
+            self.stage, self.silence_deadline = Stage.STREAMING, now + self.silence_limit
+            self.prefill_server, self.state, self.reserved_server = "", None, ""
             elapsed = now - self.sent_at
-            told = Tell(api.FirstToken(self.ask.request, self.number, self.server, elapsed))
-            if self.gone:
-                return [told, Abort(), *self.attempt(ports.Over(api.Outcome.CANCELLED, "the client left"), now)]
-            return [told, Begin()]
+            told = NotifyRouter(api.FirstToken(self.request.request_id, self.attempt_number, self.server, elapsed))
+            if self.client_gone:
+                return [
+                    told,
+                    AbortAttempt(),
+                    *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "the client left"), now),
+                ]
+            return [told, StartAnswer()]
         return self._over(event, now)
 
-    def _over(self, over: ports.Over, now: int) -> list[Effect]:
+    def _over(self, result: ports.AttemptResult, now: int) -> list[SideEffect]:
         streamed = self.stage is Stage.STREAMING
-        effects: list[Effect] = []
-        outcome = over.outcome
+        effects: list[SideEffect] = []
+        outcome = result.outcome
         self.timed_out = outcome is api.Outcome.TIMED_OUT
-        self.last_why = over.why or outcome.value
-        finished = streamed or self.gone or self.answered
-        if over.rejection is not None and not finished:
+        self.last_why = result.why or outcome.value
+        finished = streamed or self.client_gone or self.answered
+        if result.rejection is not None and not finished:
             # The request itself is at fault: the engine's answer is the final one, nothing is tried again.
-            effects += self._final(ports.Rejected(*over.rejection))
+            effects += self._final(ports.Rejected(*result.rejection))
             finished = True
         elif streamed and not self.answered:
             final = ports.Served() if outcome is api.Outcome.SERVED else ports.Broken(self.last_why, self.timed_out)
             effects += self._final(final)
         elif outcome is api.Outcome.SERVED and not finished:
-            raise LifeError(f"request {self.ask.request}: served without a beginning")
+            raise LifecycleError(f"request {self.request.request_id}: served without a beginning")
         if outcome is api.Outcome.READ:
-            self.reader, self.state = self.server, over.state
-        elif self.place == self.server:
+            self.prefill_server, self.state = self.server, result.state
+        elif self.reserved_server == self.server:
             # The place was for this attempt, which did not come to use it, or nobody knows.
             effects += self._let_go_place()
-        if outcome in _UNCERTAIN and not streamed and self.server != self.reader:
+        if outcome in _UNCERTAIN and not streamed and self.server != self.prefill_server:
             # It may have been read and the answer lost: a state would wait there that nobody knows of.
-            effects.append(LetGo(self.server, None, "", self.number, rest=bool(self.reader)))
+            effects.append(
+                ReleaseHeld(self.server, None, "", self.attempt_number, state_remains=bool(self.prefill_server))
+            )
         effects.append(
-            Tell(
+            NotifyRouter(
                 api.AttemptEnded(
-                    self.ask.request,
-                    self.number,
+                    self.request.request_id,
+                    self.attempt_number,
                     self.server,
                     outcome,
                     max(0, now - self.sent_at),
                     finished,
-                    over.kept_tokens,
-                    over.state_missing,
-                    over.report,
+                    result.kept_tokens,
+                    result.state_missing,
+                    result.report,
                 )
             )
         )
         self.stage = Stage.DONE if finished else Stage.WAITING
-        self.server, self.limit_at = "", 0
+        self.server, self.attempt_deadline = "", 0
         return effects
 
-    def streams(self, now: int) -> bool:
+    def accept_part(self, now: int) -> bool:
         """Whether a piece that came just now goes straight to the client; notes that the stream is alive.
 
-        The usual case of :meth:`attempt`, without its effects: it is asked for every token.
+        The usual case of :meth:`handle_attempt_event`, without its effects: it is asked for every token.
         """
-        if self.stage is not Stage.STREAMING or self.gone:
+        if self.stage is not Stage.STREAMING or self.client_gone:
             return False
-        self.silent_at = now + self.silence
+        self.silence_deadline = now + self.silence_limit
         return True
 
-    def time(self, now: int) -> list[Effect]:
+    def check_deadlines(self, now: int) -> list[SideEffect]:
         """Time has passed: end an attempt that has had its time, or a stream that fell silent.
 
         Owed: ``Obligation.ANSWER``, ``Obligation.ATTEMPT``."""
-        if not self.due() or now < self.due():
+        if not self.next_deadline() or now < self.next_deadline():
             return []
-        silent = self.stage is Stage.STREAMING and now >= self.silent_at
+        silent = self.stage is Stage.STREAMING and now >= self.silence_deadline
         why = "the engine fell silent within its answer" if silent else "out of time"
-        return [Abort(), *self.attempt(ports.Over(api.Outcome.TIMED_OUT, why), now)]
+        return [AbortAttempt(), *self.handle_attempt_event(ports.AttemptResult(api.Outcome.TIMED_OUT, why), now)]
 
-    def client_gone(self, now: int) -> list[Effect]:
+    def handle_client_gone(self, now: int) -> list[SideEffect]:
         """The client has left; nothing more is owed."""
-        if self.gone or self.answered:
-            self.gone = True
+        if self.client_gone or self.answered:
+            self.client_gone = True
             return []
-        self.gone = True
-        effects: list[Effect] = [Tell(api.RequestGone(self.ask.request))]
+        self.client_gone = True
+        effects: list[SideEffect] = [NotifyRouter(api.RequestGone(self.request.request_id))]
         if self.stage is Stage.STREAMING:
-            effects += [Abort(), *self.attempt(ports.Over(api.Outcome.CANCELLED, "the client left"), now)]
+            effects += [
+                AbortAttempt(),
+                *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "the client left"), now),
+            ]
         elif self.stage is Stage.WAITING:
             self.stage = Stage.DONE
         return effects
--- a/stonetrack/node/sockets.py
+++ b/stonetrack/node/sockets.py
@@ -1,7 +1,7 @@
 """The few system calls on sockets that clients' and engines' connections are made of, each in one place.
 
 :data:`SYSTEM` makes the calls; tests put errors in its place.  Around it each function tries a call again while this
-machine is short of something (``system_errors``), ``TRIES`` times, and raises :class:`MachineShort` after that.  All
+machine is short of something (``system_errors``), ``TRIES`` times, and raises `ResourceExhausted` after that.  All
 other errors are raised as they came.
 """
 
@@ -15,24 +15,24 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from stonetrack.node.system_errors import Call, Meaning, meaning
+from stonetrack.node.system_errors import ErrorClass, SystemCall, classify_error
 
 T = TypeVar("T")
-TRIES = 4  # of one call
-PAUSE = 0.005  # seconds between two
-NOW = int(socket.MSG_DONTWAIT)  # as plain numbers: combining the flags anew costs more than the call
-SEND_NOW = int(socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
+MAX_TRIES = 4  # of one call
+RETRY_DELAY_S = 0.005  # seconds between two
+DONT_WAIT = int(socket.MSG_DONTWAIT)  # as plain numbers: combining the flags anew costs more than the call
+SEND_FLAGS = int(socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
 _RESET = struct.pack("ii", 1, 0)
 
 
-class MachineShort(OSError):
+class ResourceExhausted(OSError):
     """This machine could not carry out a call, for want of descriptors, memory, ports or routes; no peer's fault."""
 
 
 class System:
     """The calls themselves."""
 
-    def make(self, family: int) -> socket.socket:
+    def create_socket(self, family: int) -> socket.socket:
         """socket(2) for a stream."""
         return socket.socket(family, socket.SOCK_STREAM)
 
@@ -44,7 +44,7 @@
         """accept(2)."""
         return listener.accept()[0]
 
-    def option(self, sock: socket.socket, level: int, name: int, value: int | bytes) -> None:
+    def set_option(self, sock: socket.socket, level: int, name: int, value: int | bytes) -> None:
         """setsockopt(2)."""
         sock.setsockopt(level, name, value)
 
@@ -68,26 +68,26 @@
 SYSTEM = System()
 
 
-def patiently(call: Call, make: Callable[[], T]) -> T:
-    """Make a call, again while the machine is short.  Raises MachineShort after that, OSError for all else."""
-    for tried in range(1, TRIES + 1):
+def call_with_retries(call: SystemCall, make: Callable[[], T]) -> T:
+    """Make a call, again while the machine is short.  Raises ResourceExhausted after that, OSError for all else."""
+    for tried in range(1, MAX_TRIES + 1):
         try:
             return make()
         except OSError as error:
-            what = meaning(call, error)
-            if isinstance(error, InterruptedError) and tried < TRIES:
+            what = classify_error(call, error)
+            if isinstance(error, InterruptedError) and tried < MAX_TRIES:
                 continue
-            if what is not Meaning.MACHINE:
+            if what is not ErrorClass.LOCAL:
                 raise
-            if tried == TRIES:
-                raise MachineShort(error.errno, f"{call.value}: {error.strerror}") from error
-        time.sleep(PAUSE)
+            if tried == MAX_TRIES:
+                raise ResourceExhausted(error.errno, f"{call.value}: {error.strerror}") from error
+        time.sleep(RETRY_DELAY_S)
     raise AssertionError("not reached")
 
 
 def open_socket(family: int) -> socket.socket:
     """A stream socket."""
-    return patiently(Call.SOCKET, lambda: SYSTEM.make(family))
+    return call_with_retries(SystemCall.SOCKET, lambda: SYSTEM.create_socket(family))
 
 
 def connect(host: str, port: int, timeout: float) -> socket.socket:
@@ -100,8 +100,8 @@
         SYSTEM.connect(sock, (host, port))
 
     try:
-        patiently(Call.CONNECT, once)
-        no_delay(sock)
+        call_with_retries(SystemCall.CONNECT, once)
+        set_no_delay(sock)
         sock.settimeout(None)
     except BaseException:
         close(sock)
@@ -111,28 +111,28 @@
 
 def accept(listener: socket.socket) -> socket.socket:
     """A client's connection.  Raises BlockingIOError, OSError."""
-    return patiently(Call.ACCEPT, lambda: SYSTEM.accept(listener))
+    return call_with_retries(SystemCall.ACCEPT, lambda: SYSTEM.accept(listener))
 
 
-def no_delay(sock: socket.socket) -> None:
+def set_no_delay(sock: socket.socket) -> None:
     """Send small writes at once; a connection without that still works."""
     with contextlib.suppress(OSError):
-        SYSTEM.option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        SYSTEM.set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def send(sock: socket.socket, data: bytes | bytearray | memoryview) -> int:
     """Bytes that the socket took, without waiting.  Raises BlockingIOError, OSError."""
-    return patiently(Call.SEND, lambda: SYSTEM.send(sock, data, SEND_NOW))
+    return call_with_retries(SystemCall.SEND, lambda: SYSTEM.send(sock, data, SEND_FLAGS))
 
 
-def receive(sock: socket.socket, size: int, flags: int = NOW) -> bytes:
+def receive(sock: socket.socket, size: int, flags: int = DONT_WAIT) -> bytes:
     """What came, empty at the end; without waiting unless ``flags`` are others.  Raises BlockingIOError, OSError."""
-    return patiently(Call.RECEIVE, lambda: SYSTEM.receive(sock, size, flags))
+    return call_with_retries(SystemCall.RECEIVE, lambda: SYSTEM.receive(sock, size, flags))
 
 
 def poll(poller: select.poll, milliseconds: float | None) -> list[tuple[int, int]]:
     """Descriptors that are ready and how, within so many milliseconds; None is without end.  Raises OSError."""
-    return patiently(Call.POLL, lambda: SYSTEM.poll(poller, milliseconds))
+    return call_with_retries(SystemCall.POLL, lambda: SYSTEM.poll(poller, milliseconds))
 
 
 def readable(sock: socket.socket, milliseconds: float = 0.0) -> bool:
@@ -151,5 +151,5 @@
 def reset(sock: socket.socket) -> None:
     """Close at once with a reset: nothing more is read, nothing sent."""
     with contextlib.suppress(OSError):
-        SYSTEM.option(sock, socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        SYSTEM.set_option(sock, socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
     close(sock)
--- a/stonetrack/node/system_errors.py
+++ b/stonetrack/node/system_errors.py
@@ -16,7 +16,7 @@
 from enum import Enum
 
 
-class Call(Enum):
+class SystemCall(Enum):
     """The system calls that the node's sockets need."""
 
     ACCEPT = "accept"
@@ -29,11 +29,11 @@
     CLOSE = "close"
 
 
-class Meaning(Enum):
+class ErrorClass(Enum):
     """See the module."""
 
-    LATER = "not yet"
-    MACHINE = "passing trouble of this machine"
+    RETRY = "not yet"
+    LOCAL = "passing trouble of this machine"
     PEER = "trouble of the peer"
     DEFECT = "a programming error"
 
@@ -66,33 +66,33 @@
     errno.EPROTO,
     errno.ENOPROTOOPT,
 )
-_GENERAL: dict[int, Meaning] = {
-    **dict.fromkeys(_LATER, Meaning.LATER),
-    **dict.fromkeys(_MACHINE, Meaning.MACHINE),
-    **dict.fromkeys(_PEER, Meaning.PEER),
+_GENERAL: dict[int, ErrorClass] = {
+    **dict.fromkeys(_LATER, ErrorClass.RETRY),
+    **dict.fromkeys(_MACHINE, ErrorClass.LOCAL),
+    **dict.fromkeys(_PEER, ErrorClass.PEER),
 }
-_OF_ONE_CALL: dict[tuple[Call, int], Meaning] = {
+_OF_ONE_CALL: dict[tuple[SystemCall, int], ErrorClass] = {
     # accept(2): errors that were pending on the new connection are given by the call; the next one is not concerned.
-    (Call.ACCEPT, errno.ENETDOWN): Meaning.PEER,
-    (Call.ACCEPT, errno.ENETUNREACH): Meaning.PEER,
-    (Call.ACCEPT, errno.EOPNOTSUPP): Meaning.PEER,
-    (Call.ACCEPT, errno.EPERM): Meaning.PEER,
+    (SystemCall.ACCEPT, errno.ENETDOWN): ErrorClass.PEER,
+    (SystemCall.ACCEPT, errno.ENETUNREACH): ErrorClass.PEER,
+    (SystemCall.ACCEPT, errno.EOPNOTSUPP): ErrorClass.PEER,
+    (SystemCall.ACCEPT, errno.EPERM): ErrorClass.PEER,
     # connect(2): no free local port, or no entry in the routing cache.
-    (Call.CONNECT, errno.EAGAIN): Meaning.MACHINE,
+    (SystemCall.CONNECT, errno.EAGAIN): ErrorClass.LOCAL,
     # On a connection that stood, a lost route is the connection's end like any other.
-    (Call.SEND, errno.ENETDOWN): Meaning.PEER,
-    (Call.SEND, errno.ENETUNREACH): Meaning.PEER,
-    (Call.RECEIVE, errno.ENETDOWN): Meaning.PEER,
-    (Call.RECEIVE, errno.ENETUNREACH): Meaning.PEER,
+    (SystemCall.SEND, errno.ENETDOWN): ErrorClass.PEER,
+    (SystemCall.SEND, errno.ENETUNREACH): ErrorClass.PEER,
+    (SystemCall.RECEIVE, errno.ENETDOWN): ErrorClass.PEER,
+    (SystemCall.RECEIVE, errno.ENETUNREACH): ErrorClass.PEER,
     # A connection that was reset before it was looked at takes no options any more.
-    (Call.OPTION, errno.EINVAL): Meaning.PEER,
+    (SystemCall.OPTION, errno.EINVAL): ErrorClass.PEER,
 }
 
 
-def meaning(call: Call, error: OSError) -> Meaning:
+def classify_error(call: SystemCall, error: OSError) -> ErrorClass:
     """What an error of a call means.  A time-out without a number is the peer's silence."""
     code = error.errno
     if code is None:
-        return Meaning.PEER if isinstance(error, (TimeoutError, ConnectionError)) else Meaning.DEFECT
+        return ErrorClass.PEER if isinstance(error, (TimeoutError, ConnectionError)) else ErrorClass.DEFECT
     found = _OF_ONE_CALL.get((call, code))
-    return found or _GENERAL.get(code, Meaning.DEFECT)
+    return found or _GENERAL.get(code, ErrorClass.DEFECT)
--- a/stonetrack/node/threads.py
+++ b/stonetrack/node/threads.py
@@ -13,9 +13,9 @@
 from collections import deque
 from collections.abc import Callable
 
-MOST = 5  # errors
-SPAN = 10.0  # seconds
-PAUSE = 0.05  # seconds before it runs again
+MAX_FAILURES = 5  # errors
+FAILURE_WINDOW_S = 10.0  # seconds
+RESTART_DELAY_S = 0.05  # seconds before it runs again
 EXIT_CODE = 70  # sysexits.h: an internal error
 
 
@@ -25,7 +25,7 @@
 
 
 def _run(name: str, body: Callable[[], None], log: Callable[[str], None]) -> None:
-    failed: deque[float] = deque(maxlen=MOST)
+    failed: deque[float] = deque(maxlen=MAX_FAILURES)
     while True:
         try:
             body()
@@ -33,14 +33,14 @@
         except Exception as error:
             failed.append(time.monotonic())
             text = f"thread {name}: {type(error).__name__}: {error}"
-            if len(failed) == MOST and failed[-1] - failed[0] < SPAN:
-                log(f"{text}; the {MOST}th time within {SPAN:g} s: the process ends")
+            if len(failed) == MAX_FAILURES and failed[-1] - failed[0] < FAILURE_WINDOW_S:
+                log(f"{text}; the {MAX_FAILURES}th time within {FAILURE_WINDOW_S:g} s: the process ends")
                 end_process(text)
                 return
             log(f"{text}; it goes on")
-        time.sleep(PAUSE)
+        time.sleep(RESTART_DELAY_S)
 
 
-def lasting(name: str, body: Callable[[], None], log: Callable[[str], None]) -> threading.Thread:
+def restarting_thread(name: str, body: Callable[[], None], log: Callable[[str], None]) -> threading.Thread:
     """A daemon thread, not yet started, that runs ``body`` until that returns."""
     return threading.Thread(target=_run, args=(name, body, log), name=name, daemon=True)
--- a/stonetrack/node/transitions.py
+++ b/stonetrack/node/transitions.py
@@ -46,10 +46,10 @@
     attempt: int = -1
     outcome: Outcome | None = None
     why: str = ""
-    reads: bool = False
+    is_prefill: bool = False
     state_missing: bool = False
-    time_told: int = 0
-    decided: int = 0
+    propagated_time: int = 0
+    decided_at: int = 0
     closed_for: int = 0
 
     def text(self, since: int) -> str:
--- a/tests/rig.py
+++ b/tests/harness.py
@@ -56,7 +56,7 @@
     return base
 
 
-class Silent:
+class RecordingLogger:
     """A logger that keeps what it is told."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
     info = warning = error = debug = _say
 
 
-class Rig:
+class Harness:
     """One instance and its stand-ins."""
 
     def __init__(self, fleet: Fleet, settings: dict[str, Any], make_router: MakeRouter = Router) -> None:
@@ -77,7 +77,7 @@
         self._thread = threading.Thread(target=self.engines.run, daemon=True)
         self._thread.start()
         self.settings: Node = parse(json.dumps(raw_settings(self.engines.list_url, **settings)))
-        self.log = Silent()
+        self.log = RecordingLogger()
         self.listener = listen("127.0.0.1", 0, 512)
         self.port: int = self.listener.getsockname()[1]
         self.node = Instance(self.settings, self.listener, log=self.log, seed=1, make_router=make_router)
@@ -115,12 +115,12 @@
 
 
 @contextmanager
-def rig(readers: int = 2, writers: int = 2, mixed: int = 0, *, settings: dict[str, Any] | None = None,
+def harness(prefill: int = 2, decode: int = 2, mixed: int = 0, *, settings: dict[str, Any] | None = None,
         specs: tuple[Spec, ...] | None = None, make_router: MakeRouter = Router, list_delay_ms: float = 10.0,
-        **spec: Any) -> Iterator[Rig]:  # fmt: skip
+        **spec: Any) -> Iterator[Harness]:  # fmt: skip
     """A running rig."""
-    engines = specs or small_fleet(readers, writers, mixed, **{**QUICK, **spec})
-    made = Rig(Fleet(engines=engines, list_delay_ms=list_delay_ms), settings or {}, make_router)
+    engines = specs or small_fleet(prefill, decode, mixed, **{**QUICK, **spec})
+    made = Harness(Fleet(engines=engines, list_delay_ms=list_delay_ms), settings or {}, make_router)
     try:
         made.node.start()
         yield made
@@ -139,7 +139,7 @@
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def ask(self, body: Any, path: str = CHAT, method: str = "POST", headers: str = "") -> None:
+    def send_request(self, body: Any, path: str = CHAT, method: str = "POST", headers: str = "") -> None:
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         self.send(
             f"{method} {path} HTTP/1.1\r\nHost: t\r\n{headers}Content-Length: {len(data)}\r\n\r\n".encode() + data
@@ -163,13 +163,13 @@
                 raise ConnectionError("closed without an answer")
 
     def call(self, body: Any, **more: Any) -> tuple[http1.ResponseHead, Any]:
-        self.ask(body, **more)
+        self.send_request(body, **more)
         head, data = self.answer()
         return head, json.loads(data) if data else None
 
     def stream(self, body: Any, **more: Any) -> tuple[http1.ResponseHead, list[bytes]]:
         """The events' data of a streamed answer."""
-        self.ask(body, **more)
+        self.send_request(body, **more)
         head, data = self.answer()
         return head, [event.data for event in sse.EventStream().feed(data)]
 
@@ -192,4 +192,16 @@
     return "".join(parts)
 
 
-__all__ = ["CHAT", "QUICK", "Client", "Path", "Rig", "chat", "raw_settings", "rig", "structlog", "text_of", "wait_for"]
+__all__ = [
+    "CHAT",
+    "QUICK",
+    "Client",
+    "Path",
+    "Harness",
+    "chat",
+    "raw_settings",
+    "harness",
+    "structlog",
+    "text_of",
+    "wait_for",
+]
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -18,10 +18,10 @@
 from stonetrack.soak import platform as emulated
 from stonetrack.soak.platform import CHAT, REPORT, Discovery
 from stonetrack.wire import http1
-from tests.rig import Client, wait_for
+from tests.harness import Client, wait_for
 from tests.test_edge import SETTINGS
 
-__all__ = ["CHAT", "REPORT", "Platform", "Program", "ask", "at_rest", "free_port", "headers", "node", "platform",
+__all__ = ["CHAT", "REPORT", "Platform", "Program", "round_trip", "is_idle", "free_port", "headers", "node", "platform",
            "program", "up"]  # fmt: skip
 
 
@@ -69,7 +69,7 @@
         made.stop()
 
 
-def at_rest(made: EdgeNode) -> bool:
+def is_idle(made: EdgeNode) -> bool:
     """Whether nothing is counted as out, waiting or held."""
     router = made.core.router
     servers = router.servers.values()  # type: ignore[attr-defined]
@@ -87,7 +87,7 @@
         client = Client(port, 1.0)
     except OSError:
         return False
-    client.ask(b"", "/up", "GET")
+    client.send_request(b"", "/up", "GET")
     status = client.answer()[0].status
     client.sock.close()
     return status == 200
@@ -131,7 +131,7 @@
     return "".join(f"{name}: {value}\r\n" for name, value in fields.items())
 
 
-def ask(client: Client, request: str, **changes: str) -> tuple[http1.ResponseHead, bytes]:
+def round_trip(client: Client, request: str, **changes: str) -> tuple[http1.ResponseHead, bytes]:
     """One request and its whole answer.  Raises where the answer breaks off."""
-    client.ask(b'{"model":"chat"}', CHAT, headers=headers(request, **changes))
+    client.send_request(b'{"model":"chat"}', CHAT, headers=headers(request, **changes))
     return client.answer()
--- a/tests/bed.py
+++ b/tests/router_fixture.py
@@ -18,7 +18,7 @@
     max_attempts=5,
     may_cancel=True,
 )
-READER, WRITER, MIXED = 0, 1, 2
+PREFILL, DECODE, MIXED = 0, 1, 2
 
 
 def entry(name: str, kind: int, cell: int = 0, **more: object) -> api.ServerEntry:
@@ -27,12 +27,12 @@
 
 
 FLEET = (
-    *(entry(f"r{n}", READER, cell=n % 2) for n in range(4)),
-    *(entry(f"w{n}", WRITER, cell=n % 2) for n in range(4)),
+    *(entry(f"r{n}", PREFILL, cell=n % 2) for n in range(4)),
+    *(entry(f"w{n}", DECODE, cell=n % 2) for n in range(4)),
 )
 
 
-class Bed:
+class RouterFixture:
     """A router, its clock, and every action so far."""
 
     def __init__(
@@ -42,78 +42,80 @@
         self.now = now
         self.actions: list[api.Action] = []
         self.tries: dict[str, int] = {}
-        self.give(api.ServerList(api.ListKind.SAVED, 1, fleet))
+        self.handle(api.ServerList(api.ListKind.SAVED, 1, fleet))
 
-    def give(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         got = self.router.handle(self.now, event)
         self.actions += got
         return got
 
-    def wait(self, time: int) -> list[api.Action]:
+    def advance(self, time: int) -> list[api.Action]:
         """Let time pass in sweeps; the actions meanwhile."""
         got: list[api.Action] = []
         end = self.now + time
         while self.now < end:
             self.now = min(self.now + 50 * MS, end)
-            got += self.give(api.TimerFired(0))
+            got += self.handle(api.TimerFired(0))
         return got
 
-    def ask(
+    def arrive(
         self,
         name: str,
         session: str = "",
-        beginning: str | None = None,
+        shared_prefix: str | None = None,
         shared: int = 0,
         prompt: int = 1600,
         left: int = 10 * SECOND,
         **more: int,
     ) -> list[api.Action]:
         self.tries[name] = -1
-        return self.give(
+        return self.handle(
             api.RequestArrived(
                 name,
                 more.get("class_index", 0),
                 session or "s-" + name,
                 left,
                 prompt,
-                beginning,
+                shared_prefix,
                 shared,
                 200,
                 more.get("tenant", 0),
             )
         )
 
-    def end(
+    def end_attempt(
         self, send: api.Send, outcome: api.Outcome, attempt: int, elapsed: int = 100 * MS, **more: object
     ) -> list[api.Action]:
         self.now += elapsed
         base = api.AttemptEnded(send.request, attempt, send.server, outcome, elapsed)
-        return self.give(replace(base, **more))  # type: ignore[arg-type]
+        return self.handle(replace(base, **more))  # type: ignore[arg-type]
 
-    def read(self, send: api.Send, attempt: int = 0, kept: int | None = None, elapsed: int = 100 * MS) -> api.Send:
+    def finish_prefill(
+        self, send: api.Send, attempt: int = 0, kept: int | None = None, elapsed: int = 100 * MS
+    ) -> api.Send:
         """The read succeeds, by default finding what was promised; the send to the writer that follows."""
         if kept is None:
             request = self.router.requests[send.request]
             kept = int(request.prompt - request.work)
-        return only(self.end(send, api.Outcome.READ, attempt, elapsed, kept_tokens=kept), api.Send)
+        return single(self.end_attempt(send, api.Outcome.READ, attempt, elapsed, kept_tokens=kept), api.Send)
 
     def serve(self, send: api.Send, attempt: int = 1) -> None:
         """The answer begins and ends."""
-        self.give(api.FirstToken(send.request, attempt, send.server, 50 * MS))
-        self.end(send, api.Outcome.SERVED, attempt, 100 * MS, finished=True)
+        self.handle(api.FirstToken(send.request, attempt, send.server, 50 * MS))
+        self.end_attempt(send, api.Outcome.SERVED, attempt, 100 * MS, finished=True)
 
-    def whole(self, name: str, **more: int) -> str:
+    def run_request(self, name: str, **more: int) -> str:
         """One request from arrival to its end; the reader that read it."""
-        send = only(self.ask(name, **more), api.Send)  # type: ignore[arg-type]
-        self.serve(self.read(send))
+        send = single(self.arrive(name, **more), api.Send)  # type: ignore[arg-type]
+        self.serve(self.finish_prefill(send))
         return send.server
 
 
-def of(actions: list[api.Action], kind: type[A]) -> list[A]:
+def of_type(actions: list[api.Action], kind: type[A]) -> list[A]:
     return [action for action in actions if isinstance(action, kind)]
 
 
-def only(actions: list[api.Action], kind: type[A]) -> A:
-    found = of(actions, kind)
+def single(actions: list[api.Action], kind: type[A]) -> A:
+    found = of_type(actions, kind)
     assert len(found) == 1, f"{len(found)} of {kind.__name__} in {actions}"
     return found[0]
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -21,8 +21,8 @@
 from stonetrack.node.transitions import Step, Transition
 from stonetrack.soak.latitude import KINDEST, Latitude, Sentence
 from stonetrack.soak.platform import Trouble
+from tests.harness import Client, wait_for
 from tests.platform import headers, node, platform
-from tests.rig import Client, wait_for
 
 WITHIN = 100 * MS  # so that a test of several releases lasts for less than a second
 
@@ -183,8 +183,8 @@
 
 def ledger(*steps: tuple[int, Step, int, bool, Outcome | None]) -> Ledger:
     made = Ledger("q", Effect.SAFE, 10_000 * MS, 500 * MS)
-    for at, step, attempt, reads, outcome in steps:
-        made.note(Transition(at * MS, step, "e", attempt, outcome, reads=reads))
+    for at, step, attempt, is_prefill, outcome in steps:
+        made.note(Transition(at * MS, step, "e", attempt, outcome, is_prefill=is_prefill))
     return made
 
 
@@ -216,7 +216,7 @@
         for name in ("r0", "r1"):
             world.engines[name].trouble = Trouble.HANG_BEFORE
         client = Client(world.listen)
-        client.ask(b"{}", headers=headers("q"))
+        client.send_request(b"{}", headers=headers("q"))
         assert wait_for(lambda: any(what == "read" for what, _ in world.which("q")))
         client.close()
         assert wait_for(lambda: len(made.abandoned) == 1)
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -8,33 +8,33 @@
 
 from stonetrack import api
 from stonetrack.logic import ASK_WAIT, FRESH, MS
-from tests.bed import CLASS, READER, SETTINGS, WRITER, Bed, entry, of, only
+from tests.router_fixture import CLASS, DECODE, PREFILL, SETTINGS, RouterFixture, entry, of_type, single
 
-MANY = (*(entry(f"r{n}", READER) for n in range(12)), *(entry(f"w{n}", WRITER) for n in range(4)))
+MANY = (*(entry(f"r{n}", PREFILL) for n in range(12)), *(entry(f"w{n}", DECODE) for n in range(4)))
 ASKING = replace(SETTINGS, may_probe=True, report_source=api.ReportSource.ANSWERS, routers=200)
 
 
-def told(bed: Bed, server: str, waiting: float) -> list[api.Action]:
+def told(fixture: RouterFixture, server: str, waiting: float) -> list[api.Action]:
     report = api.LoadReport(1.0, 0.0, 0.1, waiting)
-    return bed.give(api.ProbeEnded(server, api.Outcome.SERVED, 2 * MS, report))
+    return fixture.handle(api.ProbeEnded(server, api.Outcome.SERVED, 2 * MS, report))
 
 
-def learnt(settings: api.Settings = ASKING) -> Bed:
+def learnt(settings: api.Settings = ASKING) -> RouterFixture:
     """A router that knows how long a read takes: 1,600 tokens in 0.1 s."""
-    bed = Bed(settings, MANY)
+    fixture = RouterFixture(settings, MANY)
     for n in range(4):
-        for probe in of(bed.ask(f"warm{n}"), api.Probe):
-            sent = of(told(bed, probe.server, 0.0), api.Send)
-        bed.serve(bed.read(sent[0]))
-    bed.wait(2 * FRESH)
-    return bed
+        for probe in of_type(fixture.arrive(f"warm{n}"), api.Probe):
+            sent = of_type(told(fixture, probe.server, 0.0), api.Send)
+        fixture.serve(fixture.finish_prefill(sent[0]))
+    fixture.advance(2 * FRESH)
+    return fixture
 
 
-def asked(bed: Bed, name: str, **more: object) -> tuple[str, str]:
+def asked(fixture: RouterFixture, name: str, **more: object) -> tuple[str, str]:
     """The pair that is asked; nothing is sent meanwhile."""
-    got = bed.ask(name, **more)  # type: ignore[arg-type]
-    assert not of(got, api.Send)
-    first, second = (probe.server for probe in of(got, api.Probe))
+    got = fixture.arrive(name, **more)  # type: ignore[arg-type]
+    assert not of_type(got, api.Send)
+    first, second = (probe.server for probe in of_type(got, api.Probe))
     return first, second
 
 
@@ -46,138 +46,142 @@
     ((40_000.0, 30_000.0), 1),
 ])  # fmt: skip
 def test_the_one_of_two_that_has_room_gets_it(loads: tuple[float, float], chosen: int) -> None:
-    bed = learnt()
-    pair = asked(bed, "q", beginning="b", shared=800)
-    assert not of(told(bed, pair[0], loads[0]), api.Send)
-    assert only(told(bed, pair[1], loads[1]), api.Send).server == pair[chosen]
+    fixture = learnt()
+    pair = asked(fixture, "q", shared_prefix="b", shared=800)
+    assert not of_type(told(fixture, pair[0], loads[0]), api.Send)
+    assert single(told(fixture, pair[1], loads[1]), api.Send).server == pair[chosen]
 
 
 @pytest.mark.parametrize(("loads", "chosen"), [((1_500.0, 0.0), 0), ((1_700.0, 0.0), 1), ((9_000.0, 8_000.0), 0)])
 def test_a_router_that_has_read_nothing_yet_compares_backlogs(loads: tuple[float, float], chosen: int) -> None:
     """After a restart of all routers at once, else they all crowd the homes: no pace, so nothing looks crowded."""
-    bed = Bed(ASKING, MANY)
-    pair = asked(bed, "q", beginning="b", shared=800, prompt=1_600)
-    told(bed, pair[0], loads[0])
-    assert only(told(bed, pair[1], loads[1]), api.Send).server == pair[chosen]
+    fixture = RouterFixture(ASKING, MANY)
+    pair = asked(fixture, "q", shared_prefix="b", shared=800, prompt=1_600)
+    told(fixture, pair[0], loads[0])
+    assert single(told(fixture, pair[1], loads[1]), api.Send).server == pair[chosen]
 
 
 @pytest.mark.parametrize(("waiting", "calls"), [(2_000.0, 0), (1_000.0, 1)])
 def test_a_router_that_has_read_nothing_yet_waits_for_a_reader_with_work(waiting: float, calls: int) -> None:
-    bed = Bed(ASKING, MANY)
-    for server in asked(bed, "q", prompt=1_600):
-        got = told(bed, server, 0.0)
+    fixture = RouterFixture(ASKING, MANY)
+    for server in asked(fixture, "q", prompt=1_600):
+        got = told(fixture, server, 0.0)
     cancels = 0
     for _ in range(24):
-        got = bed.wait(50 * MS)
-        for probe in of(got, api.Probe):
-            got = got + told(bed, probe.server, waiting)
-        cancels += len(of(got, api.Cancel))
+        got = fixture.advance(50 * MS)
+        for probe in of_type(got, api.Probe):
+            got = got + told(fixture, probe.server, waiting)
+        cancels += len(of_type(got, api.Cancel))
     assert cancels == calls
 
 
-def late(bed: Bed, pair: tuple[str, str]) -> list[api.Action]:
+def late(fixture: RouterFixture, pair: tuple[str, str]) -> list[api.Action]:
     """Both would take far too long."""
-    told(bed, pair[0], 900_000.0)
-    return told(bed, pair[1], 800_000.0)
+    told(fixture, pair[0], 900_000.0)
+    return told(fixture, pair[1], 800_000.0)
 
 
 def test_two_others_are_asked_before_a_request_is_refused_and_one_with_room_gets_it() -> None:
-    bed = learnt()
-    pair = asked(bed, "q", beginning="b", shared=800)
-    got = late(bed, pair)
-    others = [probe.server for probe in of(got, api.Probe)]
-    assert not of(got, api.Refuse) and len(others) == 2 and not set(others) & set(pair)
-    assert not of(told(bed, others[0], 850_000.0), api.Send)
-    assert only(told(bed, others[1], 500.0), api.Send).server == others[1]
+    fixture = learnt()
+    pair = asked(fixture, "q", shared_prefix="b", shared=800)
+    got = late(fixture, pair)
+    others = [probe.server for probe in of_type(got, api.Probe)]
+    assert not of_type(got, api.Refuse) and len(others) == 2 and not set(others) & set(pair)
+    assert not of_type(told(fixture, others[0], 850_000.0), api.Send)
+    assert single(told(fixture, others[1], 500.0), api.Send).server == others[1]
 
 
 def test_where_the_others_are_full_too_it_is_refused_and_nobody_else_asked() -> None:
-    bed = learnt()
-    others = [probe.server for probe in of(late(bed, asked(bed, "q", beginning="b", shared=800)), api.Probe)]
-    told(bed, others[0], 850_000.0)
-    got = told(bed, others[1], 850_000.0)
-    assert of(got, api.Refuse) and not of(got, api.Probe)
+    fixture = learnt()
+    others = [
+        probe.server for probe in of_type(late(fixture, asked(fixture, "q", shared_prefix="b", shared=800)), api.Probe)
+    ]
+    told(fixture, others[0], 850_000.0)
+    got = told(fixture, others[1], 850_000.0)
+    assert of_type(got, api.Refuse) and not of_type(got, api.Probe)
 
 
 def test_one_of_the_others_that_is_half_full_does_not_read_it_anew() -> None:
     """40,000 tokens take 0.65 of the aim: the prompt's own readers might be sent it, others not."""
-    bed = learnt()
-    others = [probe.server for probe in of(late(bed, asked(bed, "q", beginning="b", shared=800)), api.Probe)]
-    told(bed, others[0], 40_000.0)
-    got = told(bed, others[1], 40_000.0)
-    assert of(got, api.Refuse) and not of(got, api.Send)
-    pair = asked(bed, "q2", beginning="b2", shared=800)
-    assert of(told(bed, pair[0], 40_000.0) + told(bed, pair[1], 900_000.0), api.Send)
+    fixture = learnt()
+    others = [
+        probe.server for probe in of_type(late(fixture, asked(fixture, "q", shared_prefix="b", shared=800)), api.Probe)
+    ]
+    told(fixture, others[0], 40_000.0)
+    got = told(fixture, others[1], 40_000.0)
+    assert of_type(got, api.Refuse) and not of_type(got, api.Send)
+    pair = asked(fixture, "q2", shared_prefix="b2", shared=800)
+    assert of_type(told(fixture, pair[0], 40_000.0) + told(fixture, pair[1], 900_000.0), api.Send)
 
 
 def test_a_report_that_grows_old_while_others_are_awaited_is_asked_for_again() -> None:
     """Else its reader looked empty once the others had told, and got what it had no room for."""
-    bed = learnt()
-    pair = asked(bed, "q1", beginning="b", shared=800)
-    others = [probe.server for probe in of(late(bed, pair), api.Probe)]
+    fixture = learnt()
+    pair = asked(fixture, "q1", shared_prefix="b", shared=800)
+    others = [probe.server for probe in of_type(late(fixture, pair), api.Probe)]
     for server in others:
-        told(bed, server, 850_000.0)
-    bed.wait(FRESH - 5 * MS)
-    got = bed.ask("q2", beginning="b", shared=800)
+        told(fixture, server, 850_000.0)
+    fixture.advance(FRESH - 5 * MS)
+    got = fixture.arrive("q2", shared_prefix="b", shared=800)
     answered = 0
-    while len(probes := of(got, api.Probe)) > answered:
-        got = got + bed.wait(5 * MS) + told(bed, probes[answered].server, 850_000.0)
+    while len(probes := of_type(got, api.Probe)) > answered:
+        got = got + fixture.advance(5 * MS) + told(fixture, probes[answered].server, 850_000.0)
         answered += 1
-    got = got + bed.wait(ASK_WAIT + 50 * MS)
-    assert not of(got, api.Send) and len(of(got, api.Refuse)) == 1
+    got = got + fixture.advance(ASK_WAIT + 50 * MS)
+    assert not of_type(got, api.Send) and len(of_type(got, api.Refuse)) == 1
 
 
 def test_others_that_told_their_load_just_now_are_chosen_without_being_asked() -> None:
-    bed = learnt()
+    fixture = learnt()
     for n in range(12):
-        told(bed, f"r{n}", 500.0)
-    pair = asked_again(bed)
-    got = late(bed, pair) + bed.wait(50 * MS)
-    assert not of(got, api.Refuse) and only(got, api.Send).server not in pair
+        told(fixture, f"r{n}", 500.0)
+    pair = asked_again(fixture)
+    got = late(fixture, pair) + fixture.advance(50 * MS)
+    assert not of_type(got, api.Refuse) and single(got, api.Send).server not in pair
 
 
-def asked_again(bed: Bed) -> tuple[str, str]:
+def asked_again(fixture: RouterFixture) -> tuple[str, str]:
     """The pair of a request whose readers' reports have just grown old, the others' have not."""
-    probe = Bed(ASKING, MANY)
-    first, second = asked(probe, "q", beginning="b", shared=800)
-    bed.wait(FRESH - 100 * MS)
+    probe = RouterFixture(ASKING, MANY)
+    first, second = asked(probe, "q", shared_prefix="b", shared=800)
+    fixture.advance(FRESH - 100 * MS)
     for n in range(12):
         if f"r{n}" not in (first, second):
-            told(bed, f"r{n}", 500.0)
-    bed.wait(150 * MS)
-    return asked(bed, "q", beginning="b", shared=800)
+            told(fixture, f"r{n}", 500.0)
+    fixture.advance(150 * MS)
+    return asked(fixture, "q", shared_prefix="b", shared=800)
 
 
 def test_routers_that_share_nothing_ask_the_same_two() -> None:
     pairs = set()
     for router in range(20):
-        bed = Bed(replace(ASKING, router=router), MANY)
-        pairs.add(asked(bed, f"q{router}", session="same", beginning="b", shared=800))
+        fixture = RouterFixture(replace(ASKING, router=router), MANY)
+        pairs.add(asked(fixture, f"q{router}", session="same", shared_prefix="b", shared=800))
     assert len(pairs) == 1
 
 
 def test_what_is_not_answered_is_not_waited_for() -> None:
-    bed = learnt()
-    first, _ = asked(bed, "q")
-    assert not of(bed.wait(ASK_WAIT - MS), api.Send)
-    assert only(bed.wait(50 * MS), api.Send).server == first
+    fixture = learnt()
+    first, _ = asked(fixture, "q")
+    assert not of_type(fixture.advance(ASK_WAIT - MS), api.Send)
+    assert single(fixture.advance(50 * MS), api.Send).server == first
 
 
 def test_a_reader_that_fails_to_answer_is_passed_over() -> None:
-    bed = learnt()
-    first, second = asked(bed, "q")
-    told(bed, second, 0.0)
-    got = bed.give(api.ProbeEnded(first, api.Outcome.TIMED_OUT, 30 * MS))
-    assert only(got, api.Send).server == second
+    fixture = learnt()
+    first, second = asked(fixture, "q")
+    told(fixture, second, 0.0)
+    got = fixture.handle(api.ProbeEnded(first, api.Outcome.TIMED_OUT, 30 * MS))
+    assert single(got, api.Send).server == second
 
 
 def test_a_report_just_heard_is_not_asked_for() -> None:
-    bed = learnt()
-    pair = asked(bed, "q1", session="s")
+    fixture = learnt()
+    pair = asked(fixture, "q1", session="s")
     for server in pair:
-        told(bed, server, 0.0)
-    got = bed.ask("q2", session="s")
-    assert not of(got, api.Probe) and only(got, api.Send).server == pair[0]
+        told(fixture, server, 0.0)
+    got = fixture.arrive("q2", session="s")
+    assert not of_type(got, api.Probe) and single(got, api.Send).server == pair[0]
 
 
 @pytest.mark.parametrize(
@@ -189,34 +193,34 @@
     ],
 )
 def test_nobody_is_asked_where_it_is_of_no_use(settings: api.Settings) -> None:
-    bed = Bed(settings, MANY)
-    assert not [p for p in of(bed.ask("q"), api.Probe) if p.server.startswith("r")]
+    fixture = RouterFixture(settings, MANY)
+    assert not [p for p in of_type(fixture.arrive("q"), api.Probe) if p.server.startswith("r")]
 
 
 def test_few_readers_are_heard_of_anyway() -> None:
-    few = Bed(ASKING, MANY[:4] + MANY[12:])
-    assert not of(few.ask("q"), api.Probe)
+    few = RouterFixture(ASKING, MANY[:4] + MANY[12:])
+    assert not of_type(few.arrive("q"), api.Probe)
 
 
 @pytest.mark.parametrize(("waiting", "calls"), [(60_000.0, 0), (0.0, 1)])
 def test_a_late_attempt_is_called_off_unless_its_reader_tells_of_work(waiting: float, calls: int) -> None:
-    bed = learnt()
-    for server in asked(bed, "q"):
-        got = told(bed, server, 0.0)
-    server = only(got, api.Send).server
+    fixture = learnt()
+    for server in asked(fixture, "q"):
+        got = told(fixture, server, 0.0)
+    server = single(got, api.Send).server
     cancels = 0
     for _ in range(24):
-        got = bed.wait(50 * MS)
-        for probe in of(got, api.Probe):
+        got = fixture.advance(50 * MS)
+        for probe in of_type(got, api.Probe):
             assert probe.server == server
-            got = got + told(bed, server, waiting)
-        cancels += len(of(got, api.Cancel))
+            got = got + told(fixture, server, waiting)
+        cancels += len(of_type(got, api.Cancel))
     assert cancels == calls
 
 
 def test_a_late_attempt_at_a_silent_reader_is_called_off() -> None:
-    bed = learnt()
-    for server in asked(bed, "q"):
-        got = told(bed, server, 0.0)
-    assert only(got, api.Send)
-    assert of(bed.wait(CLASS.first_token_aim), api.Cancel)
+    fixture = learnt()
+    for server in asked(fixture, "q"):
+        got = told(fixture, server, 0.0)
+    assert single(got, api.Send)
+    assert of_type(fixture.advance(CLASS.first_token_aim), api.Cancel)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -24,7 +24,7 @@
 from stonetrack.audit.store import Store
 from stonetrack.cli.main import main
 from stonetrack.fleet.processes import address_of, program
-from tests.rig import wait_for
+from tests.harness import wait_for
 
 SECOND = 1_000_000_000
 ONE, TWO = Acting("s1", "h", 1), Acting("s1", "h", 2)
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -12,7 +12,7 @@
 from stonetrack.background.plan import SECOND, Budget, Job, Plan, State, Step
 from stonetrack.background.runner import Runner
 from stonetrack.background.wheel import REACH, Timer, Wheel
-from tests.rig import wait_for
+from tests.harness import wait_for
 
 MS = 1_000_000
 STEPS = st.lists(
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -21,8 +21,8 @@
 from stonetrack.capture.replay import replay
 from stonetrack.capture.store import Store
 from stonetrack.logic import Router
-from tests.bed import FLEET, SETTINGS, Bed
-from tests.rig import Client, chat, rig, wait_for
+from tests.harness import Client, chat, harness, wait_for
+from tests.router_fixture import FLEET, SETTINGS, RouterFixture
 
 HEADER = Header("test", "i0.1", 1, SETTINGS)
 
@@ -31,34 +31,36 @@
     """What a router was told on a lively quarter of an hour, and what it did."""
     draw = random.Random(count)
     made: list[Call] = []
-    bed = Bed()
-    handle = bed.router.handle
+    fixture = RouterFixture()
+    handle = fixture.router.handle
 
     def noting(now: int, event: api.Event) -> list[api.Action]:
         actions = handle(now, event)
         made.append(Call(now, event, tuple(actions)))
         return actions
 
-    bed.router = Router(SETTINGS, 1)
-    handle = bed.router.handle
-    bed.router.handle = noting  # type: ignore[method-assign]
-    bed.give(api.ServerList(api.ListKind.SAVED, 1, FLEET))
+    fixture.router = Router(SETTINGS, 1)
+    handle = fixture.router.handle
+    fixture.router.handle = noting  # type: ignore[method-assign]
+    fixture.handle(api.ServerList(api.ListKind.SAVED, 1, FLEET))
     n = 0
     while len(made) < count:
         n += 1
-        sends = [a for a in bed.ask(f"q{n}", session=f"s{n % 7}", beginning=f"b{n % 3}", shared=600)
+        sends = [a for a in fixture.arrive(f"q{n}", session=f"s{n % 7}", shared_prefix=f"b{n % 3}", shared=600)
                  if isinstance(a, api.Send)]  # fmt: skip
         if not sends:
-            bed.wait(100_000_000)
+            fixture.advance(100_000_000)
         elif draw.random() < 0.2:
-            bed.end(sends[0], draw.choice([api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.CONNECT_FAILED]), 0)
+            fixture.end_attempt(
+                sends[0], draw.choice([api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.CONNECT_FAILED]), 0
+            )
         else:
-            then = bed.read(sends[0], elapsed=draw.randrange(1, 300) * 1_000_000)
+            then = fixture.finish_prefill(sends[0], elapsed=draw.randrange(1, 300) * 1_000_000)
             if draw.random() < 0.2:
-                bed.give(api.RequestGone(then.request))
-                bed.end(then, api.Outcome.CANCELLED, 1)
+                fixture.handle(api.RequestGone(then.request))
+                fixture.end_attempt(then, api.Outcome.CANCELLED, 1)
             else:
-                bed.serve(then)
+                fixture.serve(then)
     return made[:count]
 
 
@@ -285,7 +287,7 @@
 
 
 def test_a_live_nodes_capture_replays_with_any_hash_seed(tmp_path: Path) -> None:
-    with rig(2, 2, settings={"capture": {"dir": str(tmp_path), "flush_ms": 20}}) as node:
+    with harness(2, 2, settings={"capture": {"dir": str(tmp_path), "flush_ms": 20}}) as node:
         client = Client(node.port)
         for n in range(30):
             if n == 10:
--- a/tests/test_cases.py
+++ b/tests/test_cases.py
@@ -17,7 +17,7 @@
 from stonetrack.frontend.classify import ByteEstimator, hash_key, session_of, shape
 from stonetrack.logic import Router
 from stonetrack.settings import parse
-from tests.rig import Client, chat, raw_settings, rig
+from tests.harness import Client, chat, harness, raw_settings
 from tests.test_capture import HEADER, calls, command, files, write
 from tests.test_replaying import API, LOGIC
 
@@ -173,7 +173,7 @@
 
 def test_a_live_capture_holds_no_text_no_session_and_no_tenants_name(tmp_path: Path) -> None:
     settings = {"capture": {"dir": str(tmp_path), "flush_ms": 10}, "tenants": [{"name": "Suva Charging"}]}
-    with rig(1, 1, settings=settings) as node:
+    with harness(1, 1, settings=settings) as node:
         client = Client(node.port)
         body = chat("Where is the charger in Nadi?", prompt_cache_key="driver-77", max_tokens=3)
         body["messages"].insert(0, {"role": "system", "content": "You know Fiji."})
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -22,17 +22,17 @@
     Stat,
     spread_hash,
 )
-from tests.bed import CLASS, FLEET, MIXED, READER, SETTINGS, WRITER, Bed, entry, of, only
+from tests.router_fixture import CLASS, DECODE, FLEET, MIXED, PREFILL, SETTINGS, RouterFixture, entry, of_type, single
 
-TWO_READERS = (entry("r0", READER), entry("r1", READER), entry("w0", WRITER), entry("w1", WRITER))
+TWO_READERS = (entry("r0", PREFILL), entry("r1", PREFILL), entry("w0", DECODE), entry("w1", DECODE))
 ANSWERS = replace(SETTINGS, report_source=api.ReportSource.ANSWERS)
 
 
-def warm(bed: Bed, count: int = 12) -> None:
+def warm(fixture: RouterFixture, count: int = 12) -> None:
     """Teach the router its paces with requests one after another."""
     for n in range(count):
-        bed.whole(f"warm{n}")
-        bed.now += SECOND
+        fixture.run_request(f"warm{n}")
+        fixture.now += SECOND
 
 
 # The table.
@@ -54,315 +54,328 @@
 
 
 def test_a_session_and_a_beginning_return_to_their_reader() -> None:
-    bed = Bed()
-    first = bed.whole("q1", session="s", beginning="b", shared=1600, prompt=2000)  # type: ignore[arg-type]
-    assert bed.whole("q2", session="s", prompt=2400) == first  # type: ignore[arg-type]
-    assert bed.whole("q3", session="t", beginning="b", shared=1600, prompt=1700) == first  # type: ignore[arg-type]
+    fixture = RouterFixture()
+    first = fixture.run_request("q1", session="s", shared_prefix="b", shared=1600, prompt=2000)  # type: ignore[arg-type]
+    assert fixture.run_request("q2", session="s", prompt=2400) == first  # type: ignore[arg-type]
+    assert fixture.run_request("q3", session="t", shared_prefix="b", shared=1600, prompt=1700) == first  # type: ignore[arg-type]
 
 
 def test_load_outweighs_no_match_and_reports_are_used() -> None:
-    bed = Bed(ANSWERS, TWO_READERS)
-    warm(bed)
+    fixture = RouterFixture(ANSWERS, TWO_READERS)
+    warm(fixture)
     for name, tokens in (("r0", 90_000.0), ("r1", 0.0)):
-        server = bed.router.servers[name]
-        server.report, server.report_at = api.LoadReport(1.0, 0.0, 0.1, tokens), bed.now
-    assert {only(bed.ask(f"q{n}"), api.Send).server for n in range(3)} == {"r1"}
+        server = fixture.router.servers[name]
+        server.report, server.report_at = api.LoadReport(1.0, 0.0, 0.1, tokens), fixture.now
+    assert {single(fixture.arrive(f"q{n}"), api.Send).server for n in range(3)} == {"r1"}
 
 
 def test_ties_are_stable_and_spread() -> None:
-    picks = [{only(Bed().ask("q", session=f"s{n}"), api.Send).server for _ in range(2)} for n in range(30)]
+    picks = [
+        {single(RouterFixture().arrive("q", session=f"s{n}"), api.Send).server for _ in range(2)} for n in range(30)
+    ]
     assert all(len(pick) == 1 for pick in picks)
     assert set().union(*picks) == {"r0", "r1", "r2", "r3"}
 
 
 def test_a_mixed_server_competes_and_serves_whole() -> None:
-    bed = Bed(fleet=(entry("r0", READER), entry("m0", MIXED), entry("w0", WRITER)))
+    fixture = RouterFixture(fleet=(entry("r0", PREFILL), entry("m0", MIXED), entry("w0", DECODE)))
     served = set()
     for n in range(20):
-        send = only(bed.ask(f"q{n}"), api.Send)
+        send = single(fixture.arrive(f"q{n}"), api.Send)
         served.add(send.server)
         if send.server == "m0":
-            bed.serve(send, attempt=0)
+            fixture.serve(send, attempt=0)
         else:
-            bed.serve(bed.read(send))
+            fixture.serve(fixture.finish_prefill(send))
     assert served == {"r0", "m0"}
 
 
 def test_a_writer_alone_reads_where_writers_read() -> None:
-    fleet = (entry("w0", WRITER),)
-    assert not of(Bed(fleet=fleet).ask("q"), api.Send)
-    bed = Bed(replace(SETTINGS, writers_read=True), fleet)
-    bed.serve(only(bed.ask("q"), api.Send), attempt=0)
-    assert not bed.router.requests
+    fleet = (entry("w0", DECODE),)
+    assert not of_type(RouterFixture(fleet=fleet).arrive("q"), api.Send)
+    fixture = RouterFixture(replace(SETTINGS, writers_read=True), fleet)
+    fixture.serve(single(fixture.arrive("q"), api.Send), attempt=0)
+    assert not fixture.router.requests
 
 
 def test_tiny_spreads_of_load_are_not_stretched() -> None:
-    bed = Bed(fleet=TWO_READERS)
-    warm(bed, 12)
-    bed.router.prompt_work.time = 5_000.0
-    bed.router.prompt_work.work = 1.0
-    home = bed.whole("q1", session="s", prompt=1600)  # type: ignore[arg-type]
-    bed.router.servers[home].work_out = 60.0  # a sliver of work
-    assert only(bed.ask("q2", session="s", prompt=3200), api.Send).server == home
+    fixture = RouterFixture(fleet=TWO_READERS)
+    warm(fixture, 12)
+    fixture.router.prompt_work.time = 5_000.0
+    fixture.router.prompt_work.work = 1.0
+    home = fixture.run_request("q1", session="s", prompt=1600)  # type: ignore[arg-type]
+    fixture.router.servers[home].work_out = 60.0  # a sliver of work
+    assert single(fixture.arrive("q2", session="s", prompt=3200), api.Send).server == home
 
 
 def test_a_crowded_reader_is_passed_over_despite_its_prefix() -> None:
-    bed = Bed(fleet=TWO_READERS)
-    warm(bed)
-    home = bed.whole("q1", session="s", prompt=1600)  # type: ignore[arg-type]
+    fixture = RouterFixture(fleet=TWO_READERS)
+    warm(fixture)
+    home = fixture.run_request("q1", session="s", prompt=1600)  # type: ignore[arg-type]
     other = {"r0": "r1", "r1": "r0"}[home]
     for name in (home, other):
-        bed.router.servers[name].pace = bed.router.latency[api.Role.READER].pace()
-    pace = bed.router.latency[api.Role.READER].pace()
-    bed.router.servers[home].work_out = 1.2 * SECOND / pace
-    bed.router.servers[other].work_out = bed.router.servers[home].work_out * 0.3
-    assert only(bed.ask("q2", session="s", prompt=1600), api.Send).server == other
+        fixture.router.servers[name].pace = fixture.router.latency[api.Role.READER].pace()
+    pace = fixture.router.latency[api.Role.READER].pace()
+    fixture.router.servers[home].work_out = 1.2 * SECOND / pace
+    fixture.router.servers[other].work_out = fixture.router.servers[home].work_out * 0.3
+    assert single(fixture.arrive("q2", session="s", prompt=1600), api.Send).server == other
 
 
 def test_a_crash_empties_the_table() -> None:
-    bed = Bed()
-    send = only(bed.ask("q1", session="s"), api.Send)
-    bed.end(send, api.Outcome.CONNECT_FAILED, 0)
-    assert not bed.router.servers[send.server].table.entries
+    fixture = RouterFixture()
+    send = single(fixture.arrive("q1", session="s"), api.Send)
+    fixture.end_attempt(send, api.Outcome.CONNECT_FAILED, 0)
+    assert not fixture.router.servers[send.server].table.entries
 
 
 def test_a_restart_told_by_the_list_empties_the_table_and_is_cold() -> None:
-    bed = Bed()
-    home = bed.whole("q1")
-    started = bed.now
-    bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry(home, READER, started=started),)))
-    server = bed.router.servers[home]
+    fixture = RouterFixture()
+    home = fixture.run_request("q1")
+    started = fixture.now
+    fixture.handle(api.ServerList(api.ListKind.CHANGES, 2, (entry(home, PREFILL, started=started),)))
+    server = fixture.router.servers[home]
     assert not server.table.entries
     assert server.cold_until == started + SETTINGS.warm_within
 
 
 def test_a_read_that_finds_nothing_kept_voids_older_entries() -> None:
-    bed = Bed(fleet=TWO_READERS[:1] + TWO_READERS[2:])
+    fixture = RouterFixture(fleet=TWO_READERS[:1] + TWO_READERS[2:])
     for n in range(4):
-        bed.whole(f"q{n}", session=f"s{n}", prompt=1600)  # type: ignore[arg-type]
-    assert len(bed.router.servers["r0"].table.entries) == 4
-    bed.read(only(bed.ask("again", session="s0", prompt=3200), api.Send), kept=0)
-    assert list(bed.router.servers["r0"].table.entries) == ["session s0"]
-    bed.read(only(bed.ask("third", session="s0", prompt=4800), api.Send), kept=3200)
-    assert "session s0" in bed.router.servers["r0"].table.entries
+        fixture.run_request(f"q{n}", session=f"s{n}", prompt=1600)  # type: ignore[arg-type]
+    assert len(fixture.router.servers["r0"].table.entries) == 4
+    fixture.finish_prefill(single(fixture.arrive("again", session="s0", prompt=3200), api.Send), kept=0)
+    assert list(fixture.router.servers["r0"].table.entries) == ["session s0"]
+    fixture.finish_prefill(single(fixture.arrive("third", session="s0", prompt=4800), api.Send), kept=3200)
+    assert "session s0" in fixture.router.servers["r0"].table.entries
 
 
 # Writer choice.
 
 
-def written(bed: Bed, name: str) -> tuple[str, str]:
-    send = only(bed.ask(name), api.Send)
-    write = bed.read(send)
-    bed.give(api.FirstToken(name, 1, write.server, 50 * MS))
+def written(fixture: RouterFixture, name: str) -> tuple[str, str]:
+    send = single(fixture.arrive(name), api.Send)
+    write = fixture.finish_prefill(send)
+    fixture.handle(api.FirstToken(name, 1, write.server, 50 * MS))
     return send.server, write.server
 
 
 def test_the_writer_is_in_the_readers_cell_with_the_fewest_streams() -> None:
-    bed = Bed()
+    fixture = RouterFixture()
     cells = {e.server: e.cell for e in FLEET}
     for n in range(8):
-        reader, writer = written(bed, f"q{n}")
+        reader, writer = written(fixture, f"q{n}")
         assert cells[reader] == cells[writer]
 
 
 def test_a_cell_whose_best_stands_well_above_the_mean_is_left() -> None:
-    bed = Bed()
+    fixture = RouterFixture()
     for name in ("w0", "w2"):
-        bed.router.servers[name].streams = 30
+        fixture.router.servers[name].streams = 30
     for name in ("w1", "w3"):
-        bed.router.servers[name].streams = 2
-    writers = {written(bed, f"q{n}")[1] for n in range(6)}
+        fixture.router.servers[name].streams = 2
+    writers = {written(fixture, f"q{n}")[1] for n in range(6)}
     assert writers <= {"w1", "w3"}
 
 
 def test_a_writer_without_a_report_counts_as_average() -> None:
-    bed = Bed(ANSWERS, (entry("r0", READER), entry("w0", WRITER), entry("w1", WRITER), entry("w2", WRITER)))
+    fixture = RouterFixture(
+        ANSWERS, (entry("r0", PREFILL), entry("w0", DECODE), entry("w1", DECODE), entry("w2", DECODE))
+    )
     for name, streams in (("w0", 10.0), ("w1", 30.0)):
-        server = bed.router.servers[name]
-        server.report, server.report_at = api.LoadReport(streams), bed.now
-    assert written(bed, "q")[1] == "w0"
+        server = fixture.router.servers[name]
+        server.report, server.report_at = api.LoadReport(streams), fixture.now
+    assert written(fixture, "q")[1] == "w0"
 
 
 def test_a_writer_where_requests_wait_is_passed_over() -> None:
-    bed = Bed(fleet=(entry("r0", READER), entry("w0", WRITER), entry("w1", WRITER)))
-    stuck = bed.read(only(bed.ask("q0"), api.Send)).server
+    fixture = RouterFixture(fleet=(entry("r0", PREFILL), entry("w0", DECODE), entry("w1", DECODE)))
+    stuck = fixture.finish_prefill(single(fixture.arrive("q0"), api.Send)).server
     other = {"w0": "w1", "w1": "w0"}[stuck]
-    bed.router.servers[other].streams = 20
-    bed.now += 300 * MS
-    assert written(bed, "q1")[1] == other
+    fixture.router.servers[other].streams = 20
+    fixture.now += 300 * MS
+    assert written(fixture, "q1")[1] == other
 
 
 def test_no_reservation_is_asked_for_and_an_answer_for_one_changes_nothing() -> None:
-    bed, told = Bed(replace(SETTINGS, may_hold_place=True)), Bed(replace(SETTINGS, may_hold_place=True))
+    fixture, told = (
+        RouterFixture(replace(SETTINGS, may_hold_place=True)),
+        RouterFixture(replace(SETTINGS, may_hold_place=True)),
+    )
     for n in range(20):
-        sends = [only(each.ask(f"q{n}"), api.Send) for each in (bed, told)]
+        sends = [single(each.arrive(f"q{n}"), api.Send) for each in (fixture, told)]
         for server in ("w0", "w1", "w2", "w3"):
-            told.give(api.PlaceAnswer(f"q{n}", 0, server, held=server == "w1"))
-        assert bed.read(sends[0]) == told.read(sends[1])
-    assert not of(bed.actions, api.HoldPlace) and bed.actions == told.actions
+            told.handle(api.PlaceAnswer(f"q{n}", 0, server, held=server == "w1"))
+        assert fixture.finish_prefill(sends[0]) == told.finish_prefill(sends[1])
+    assert not of_type(fixture.actions, api.HoldPlace) and fixture.actions == told.actions
 
 
 # Health.
 
 
 def test_a_late_attempt_is_called_off_and_tried_elsewhere() -> None:
-    bed = Bed()
-    send = only(bed.ask("q1"), api.Send)
-    got = bed.wait(1200 * MS)
-    assert of(got, api.Cancel) == [api.Cancel("q1", 0)]
-    again = only(bed.end(send, api.Outcome.CANCELLED, 0, elapsed=0), api.Send)
+    fixture = RouterFixture()
+    send = single(fixture.arrive("q1"), api.Send)
+    got = fixture.advance(1200 * MS)
+    assert of_type(got, api.Cancel) == [api.Cancel("q1", 0)]
+    again = single(fixture.end_attempt(send, api.Outcome.CANCELLED, 0, elapsed=0), api.Send)
     assert again.server != send.server
 
 
 def test_two_late_attempts_in_a_row_leave_a_server_out_and_one_does_not() -> None:
-    bed = Bed()
-    sends = [only(bed.ask(f"q{n}", session="s"), api.Send) for n in range(2)]
+    fixture = RouterFixture()
+    sends = [single(fixture.arrive(f"q{n}", session="s"), api.Send) for n in range(2)]
     assert len({send.server for send in sends}) == 1
-    got = bed.wait(3 * SECOND)
-    assert "left out: silent" in only(got, api.Log).text
-    lone = Bed()
-    lone.ask("q")
-    assert not of(lone.wait(3 * SECOND), api.Log)
+    got = fixture.advance(3 * SECOND)
+    assert "left out: silent" in single(got, api.Log).text
+    lone = RouterFixture()
+    lone.arrive("q")
+    assert not of_type(lone.advance(3 * SECOND), api.Log)
 
 
 def test_an_attempt_is_not_late_before_half_of_the_aim() -> None:
-    bed = Bed()
-    bed.ask("q1")
-    assert not of(bed.wait(950 * MS), api.Cancel)
+    fixture = RouterFixture()
+    fixture.arrive("q1")
+    assert not of_type(fixture.advance(950 * MS), api.Cancel)
 
 
 def test_in_a_jam_calls_off_end() -> None:
     """Nothing comes back quickly, so nothing pays for more than were saved up."""
-    bed = Bed(replace(SETTINGS, max_attempts=9))
+    fixture = RouterFixture(replace(SETTINGS, max_attempts=9))
     for n in range(20):
-        bed.ask(f"q{n}")
-    assert len(of(bed.wait(9 * SECOND), api.Cancel)) <= CREDIT_MOST
+        fixture.arrive(f"q{n}")
+    assert len(of_type(fixture.advance(9 * SECOND), api.Cancel)) <= CREDIT_MOST
 
 
 def test_an_attempt_is_waited_for_while_earlier_ones_still_come() -> None:
     for answered, calls in (("first", 0), ("last", 1)):
-        bed = Bed(fleet=TWO_READERS[:1] + TWO_READERS[2:])
+        fixture = RouterFixture(fleet=TWO_READERS[:1] + TWO_READERS[2:])
         sends = {}
         for name in ("first", "middle", "last"):
-            sends[name] = only(bed.ask(name), api.Send)
-            bed.now += 10 * MS
-        got = bed.wait(600 * MS) + bed.end(sends[answered], api.Outcome.READ, 0) + bed.wait(250 * MS)
-        got += bed.wait(100 * MS)
-        assert len([c for c in of(got, api.Cancel) if c.request == "middle"]) == calls
+            sends[name] = single(fixture.arrive(name), api.Send)
+            fixture.now += 10 * MS
+        got = (
+            fixture.advance(600 * MS)
+            + fixture.end_attempt(sends[answered], api.Outcome.READ, 0)
+            + fixture.advance(250 * MS)
+        )
+        got += fixture.advance(100 * MS)
+        assert len([c for c in of_type(got, api.Cancel) if c.request == "middle"]) == calls
 
 
 def test_quick_outcomes_pay_for_calls_off() -> None:
-    bed = Bed()
-    bed.router.credit = 0.0
-    bed.ask("q")
-    assert not of(bed.wait(3 * SECOND), api.Cancel)
-    bed = Bed()
-    bed.router.credit = 0.0
+    fixture = RouterFixture()
+    fixture.router.credit = 0.0
+    fixture.arrive("q")
+    assert not of_type(fixture.advance(3 * SECOND), api.Cancel)
+    fixture = RouterFixture()
+    fixture.router.credit = 0.0
     for n in range(3):
-        bed.whole(f"w{n}")
-    bed.ask("q")
-    assert of(bed.wait(3 * SECOND), api.Cancel)
+        fixture.run_request(f"w{n}")
+    fixture.arrive("q")
+    assert of_type(fixture.advance(3 * SECOND), api.Cancel)
 
 
 @pytest.mark.parametrize("lost", [api.Outcome.CANCELLED, api.Outcome.RESET])
 def test_a_lost_answer_is_read_anew_when_two_attempts_are_left(lost: api.Outcome) -> None:
-    bed = Bed(replace(SETTINGS, max_attempts=4))
-    write = bed.read(only(bed.ask("q"), api.Send))
+    fixture = RouterFixture(replace(SETTINGS, max_attempts=4))
+    write = fixture.finish_prefill(single(fixture.arrive("q"), api.Send))
     if lost is api.Outcome.CANCELLED:
-        assert of(bed.wait(1200 * MS), api.Cancel) == [api.Cancel("q", 1)]
-    got = bed.end(write, lost, 1, elapsed=0)
-    assert of(got, api.Release)
-    assert bed.router.servers[only(got, api.Send).server].role is api.Role.READER
+        assert of_type(fixture.advance(1200 * MS), api.Cancel) == [api.Cancel("q", 1)]
+    got = fixture.end_attempt(write, lost, 1, elapsed=0)
+    assert of_type(got, api.Release)
+    assert fixture.router.servers[single(got, api.Send).server].role is api.Role.READER
 
 
 def test_an_error_leaves_a_server_out_and_a_good_outcome_brings_it_back() -> None:
-    bed = Bed(fleet=TWO_READERS)
-    server = bed.router.servers["r0"]
-    bed.router._eject(server, "error")
+    fixture = RouterFixture(fleet=TWO_READERS)
+    server = fixture.router.servers["r0"]
+    fixture.router._eject(server, "error")
     first = server.paused[ALL].span
-    assert {only(bed.ask(f"q{n}"), api.Send).server for n in range(9)} == {"r1"}
-    bed.router.now = bed.now = server.paused[ALL].until
-    bed.router._eject(server, "error")
+    assert {single(fixture.arrive(f"q{n}"), api.Send).server for n in range(9)} == {"r1"}
+    fixture.router.now = fixture.now = server.paused[ALL].until
+    fixture.router._eject(server, "error")
     assert server.paused[ALL].span == 2 * first
-    bed.now = server.paused[ALL].until
-    assert "r0" in {bed.whole(f"t{n}") for n in range(30)}
+    fixture.now = server.paused[ALL].until
+    assert "r0" in {fixture.run_request(f"t{n}") for n in range(30)}
     assert ALL not in server.paused
 
 
 def test_a_router_that_seldom_comes_by_leaves_servers_out_for_longer() -> None:
     spans = []
     for gap in (50 * MS, 2 * SECOND):
-        bed = Bed()
+        fixture = RouterFixture()
         for n in range(6):
-            bed.now += gap
-            bed.whole(f"q{n}")
-        bed.router._eject(bed.router.servers["r0"], "error")
-        spans.append(bed.router.servers["r0"].paused[ALL].span)
+            fixture.now += gap
+            fixture.run_request(f"q{n}")
+        fixture.router._eject(fixture.router.servers["r0"], "error")
+        spans.append(fixture.router.servers["r0"].paused[ALL].span)
     assert spans[0] < 3 * SECOND < 10 * SECOND < spans[1] <= PAUSE_MOST
 
 
 def test_never_more_than_a_third_of_a_role_is_left_out() -> None:
-    bed = Bed(fleet=(*(entry(f"r{n}", READER) for n in range(6)), entry("w0", WRITER)))
-    for server in list(bed.router.servers.values())[:6]:
-        bed.router._eject(server, "test")
-    assert sum(ALL in s.paused for s in bed.router.servers.values()) == 2
+    fixture = RouterFixture(fleet=(*(entry(f"r{n}", PREFILL) for n in range(6)), entry("w0", DECODE)))
+    for server in list(fixture.router.servers.values())[:6]:
+        fixture.router._eject(server, "test")
+    assert sum(ALL in s.paused for s in fixture.router.servers.values()) == 2
 
 
 def test_a_full_server_is_paused_and_another_tried() -> None:
-    bed = Bed(fleet=TWO_READERS)
-    send = only(bed.ask("q1"), api.Send)
-    again = only(bed.end(send, api.Outcome.FULL, 0), api.Send)
+    fixture = RouterFixture(fleet=TWO_READERS)
+    send = single(fixture.arrive("q1"), api.Send)
+    again = single(fixture.end_attempt(send, api.Outcome.FULL, 0), api.Send)
     assert again.server != send.server
-    assert bed.whole("q2") == again.server
+    assert fixture.run_request("q2") == again.server
 
 
 def test_a_missing_state_is_read_again_elsewhere() -> None:
-    bed = Bed()
-    send = only(bed.ask("q1"), api.Send)
-    write = bed.read(send)
-    actions = bed.end(write, api.Outcome.FULL, 1, state_missing=True)
-    assert of(actions, api.Release) == [api.Release("q1")]
-    again = only(actions, api.Send)
-    assert bed.router.servers[again.server].role is api.Role.READER and again.server != send.server
+    fixture = RouterFixture()
+    send = single(fixture.arrive("q1"), api.Send)
+    write = fixture.finish_prefill(send)
+    actions = fixture.end_attempt(write, api.Outcome.FULL, 1, state_missing=True)
+    assert of_type(actions, api.Release) == [api.Release("q1")]
+    again = single(actions, api.Send)
+    assert fixture.router.servers[again.server].role is api.Role.READER and again.server != send.server
 
 
 def test_a_state_is_let_go_of_in_time_though_its_attempts_never_reach_a_writer() -> None:
     """Connections that never come up leave the state with no attempt at any engine; it has to go all the same."""
-    bed = Bed(replace(SETTINGS, connect_timeout=250 * MS, release_within=500 * MS), FLEET)
-    send = bed.read(only(bed.ask("q"), api.Send))
-    read_at = bed.now
+    fixture = RouterFixture(replace(SETTINGS, connect_timeout=250 * MS, release_within=500 * MS), FLEET)
+    send = fixture.finish_prefill(single(fixture.arrive("q"), api.Send))
+    read_at = fixture.now
     attempt = 1
-    while not of(bed.actions, api.Release):
-        assert bed.now - read_at <= 500 * MS and send.server[0] == "w"
-        got = bed.end(send, api.Outcome.CONNECT_FAILED, attempt, 250 * MS)
+    while not of_type(fixture.actions, api.Release):
+        assert fixture.now - read_at <= 500 * MS and send.server[0] == "w"
+        got = fixture.end_attempt(send, api.Outcome.CONNECT_FAILED, attempt, 250 * MS)
         attempt += 1
-        send = next((each for each in reversed(of(got, api.Send))), send)
+        send = next((each for each in reversed(of_type(got, api.Send))), send)
     assert attempt == 3  # a second writer was tried: one that is dead does not cost the state
-    assert bed.now - read_at == 500 * MS and send.server[0] == "r"  # and it is read anew at once
+    assert fixture.now - read_at == 500 * MS and send.server[0] == "r"  # and it is read anew at once
 
 
 def test_a_state_counts_from_the_last_attempt_that_reached_an_engine() -> None:
-    bed = Bed(replace(SETTINGS, connect_timeout=250 * MS, release_within=500 * MS), FLEET)
-    send = bed.read(only(bed.ask("q"), api.Send))
-    send = only(bed.end(send, api.Outcome.ERROR, 1, 2 * SECOND), api.Send)
-    assert send.server[0] == "w" and not of(bed.actions, api.Release)
+    fixture = RouterFixture(replace(SETTINGS, connect_timeout=250 * MS, release_within=500 * MS), FLEET)
+    send = fixture.finish_prefill(single(fixture.arrive("q"), api.Send))
+    send = single(fixture.end_attempt(send, api.Outcome.ERROR, 1, 2 * SECOND), api.Send)
+    assert send.server[0] == "w" and not of_type(fixture.actions, api.Release)
 
 
 def test_many_routers_together_do_not_push_a_cold_server_over() -> None:
     """All routers' sends to one cold server, each router seeing a request or two; and to a cold writer."""
     routers, each, size = 100, 6, 4
-    fleet = (*(entry(f"r{n}", READER) for n in range(size)), *(entry(f"w{n}", WRITER) for n in range(size)))
+    fleet = (*(entry(f"r{n}", PREFILL) for n in range(size)), *(entry(f"w{n}", DECODE) for n in range(size)))
     to_cold = {"r0": 0, "w0": 0}
     for number in range(routers):
-        bed = Bed(replace(SETTINGS, router=number, routers=routers), fleet)
-        bed.give(
+        fixture = RouterFixture(replace(SETTINGS, router=number, routers=routers), fleet)
+        fixture.handle(
             api.ServerList(
-                api.ListKind.CHANGES, 2, (entry("r0", READER, started=bed.now), entry("w0", WRITER, started=bed.now))
+                api.ListKind.CHANGES,
+                2,
+                (entry("r0", PREFILL, started=fixture.now), entry("w0", DECODE, started=fixture.now)),
             )
         )
         for n in range(each):
-            bed.whole(f"q{number}-{n}")
-        for send in of(bed.actions, api.Send):
+            fixture.run_request(f"q{number}-{n}")
+        for send in of_type(fixture.actions, api.Send):
             if send.server in to_cold:
                 to_cold[send.server] += 1
     even = routers * each / size
@@ -375,17 +388,17 @@
 def test_a_fleet_that_shares_nothing_keeps_below_what_a_cold_server_bears(routers: int, how: str) -> None:
     """The sum of all routers' sends in each window of the settings: more than N + 2 x root of N + 2 is a fall."""
     settings = replace(SETTINGS, routers=routers, cold_window=3 * SECOND, warm_within=12 * SECOND)
-    fleet = (*(entry(f"r{n}", READER) for n in range(8)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL) for n in range(8)), entry("w0", DECODE))
     draw = random.Random(f"{routers} {how}")
     began = 100 * SECOND
-    told = api.ServerList(api.ListKind.CHANGES, 2, (entry("r0", READER, started=began),))
+    told = api.ServerList(api.ListKind.CHANGES, 2, (entry("r0", PREFILL, started=began),))
 
-    def started(number: int, now: int) -> Bed:
-        bed = Bed(replace(settings, router=number), fleet, now=now)
-        bed.give(told)
-        return bed
+    def started(number: int, now: int) -> RouterFixture:
+        fixture = RouterFixture(replace(settings, router=number), fleet, now=now)
+        fixture.handle(told)
+        return fixture
 
-    beds = [started(number, began) for number in range(routers)]
+    fixtures = [started(number, began) for number in range(routers)]
     weights = [1.0 / (1 + number) if how == "uneven" else 1.0 for number in range(routers)]
     windows, each = 4, 400
     for window in range(windows):
@@ -395,42 +408,42 @@
             now = began + window * settings.cold_window + n * settings.cold_window // requests
             number = draw.choices(range(routers), weights)[0]
             if how == "restarts" and draw.random() < 0.1:
-                beds[number] = started(number, now)  # it knows nothing of what it sent before
-            bed = beds[number]
-            bed.now = max(bed.now, now)
+                fixtures[number] = started(number, now)  # it knows nothing of what it sent before
+            fixture = fixtures[number]
+            fixture.now = max(fixture.now, now)
             name = f"q{window}-{n}"
-            send = only(bed.ask(name, beginning="popular", shared=1_500), api.Send)
+            send = single(fixture.arrive(name, shared_prefix="popular", shared=1_500), api.Send)
             cold += send.server == "r0"
             if send.server != "r0":  # warm readers carry what comes
-                bed.end(bed.read(send, elapsed=0), api.Outcome.SERVED, 1, 0, finished=True)
+                fixture.end_attempt(fixture.finish_prefill(send, elapsed=0), api.Outcome.SERVED, 1, 0, finished=True)
             else:
-                bed.give(api.RequestGone(name))
+                fixture.handle(api.RequestGone(name))
         bears = settings.cold_multiple * settings.cold_share * each / 8
         assert 0 < cold <= bears + 2 * bears**0.5 + 2, (window, cold, bears)
 
 
 def test_a_refusal_that_takes_its_time_is_booked_to_its_class_alone() -> None:
     classes = (SETTINGS.classes[0], SETTINGS.classes[0])
-    bed = Bed(replace(SETTINGS, classes=classes), TWO_READERS)
-    send = only(bed.ask("q1"), api.Send)
-    other = only(bed.end(send, api.Outcome.FULL, 0, elapsed=300 * MS), api.Send).server
+    fixture = RouterFixture(replace(SETTINGS, classes=classes), TWO_READERS)
+    send = single(fixture.arrive("q1"), api.Send)
+    other = single(fixture.end_attempt(send, api.Outcome.FULL, 0, elapsed=300 * MS), api.Send).server
     assert other != send.server
-    assert {only(bed.ask(f"a{n}"), api.Send).server for n in range(6)} == {other}
-    assert send.server in {only(bed.ask(f"b{n}", class_index=1), api.Send).server for n in range(6)}
-    bed = Bed(replace(SETTINGS, classes=classes), TWO_READERS)
-    send = only(bed.ask("q1"), api.Send)
-    bed.end(send, api.Outcome.FULL, 0, elapsed=1 * MS)
-    assert send.server not in {only(bed.ask(f"b{n}", class_index=1), api.Send).server for n in range(6)}
+    assert {single(fixture.arrive(f"a{n}"), api.Send).server for n in range(6)} == {other}
+    assert send.server in {single(fixture.arrive(f"b{n}", class_index=1), api.Send).server for n in range(6)}
+    fixture = RouterFixture(replace(SETTINGS, classes=classes), TWO_READERS)
+    send = single(fixture.arrive("q1"), api.Send)
+    fixture.end_attempt(send, api.Outcome.FULL, 0, elapsed=1 * MS)
+    assert send.server not in {single(fixture.arrive(f"b{n}", class_index=1), api.Send).server for n in range(6)}
 
 
 def test_a_further_attempt_goes_where_its_class_was_served_of_late() -> None:
-    fleet = (*(entry(f"r{n}", READER) for n in range(9)), entry("w0", WRITER))
-    bed = Bed(fleet=fleet)
-    served = bed.whole("first")
+    fleet = (*(entry(f"r{n}", PREFILL) for n in range(9)), entry("w0", DECODE))
+    fixture = RouterFixture(fleet=fleet)
+    served = fixture.run_request("first")
     for n in range(5):
-        send = only(bed.ask(f"q{n}"), api.Send)
+        send = single(fixture.arrive(f"q{n}"), api.Send)
         if send.server != served:
-            assert only(bed.end(send, api.Outcome.FULL, 0, elapsed=1 * MS), api.Send).server == served
+            assert single(fixture.end_attempt(send, api.Outcome.FULL, 0, elapsed=1 * MS), api.Send).server == served
             break
 
 
@@ -439,8 +452,10 @@
 
 def test_routers_agree_on_a_home_and_an_unloaded_one_is_near_enough() -> None:
     homes = {
-        only(
-            Bed(replace(SETTINGS, router=n, routers=100)).ask(f"q{n}", session=f"s{n}", beginning="b", shared=1500),
+        single(
+            RouterFixture(replace(SETTINGS, router=n, routers=100)).arrive(
+                f"q{n}", session=f"s{n}", shared_prefix="b", shared=1500
+            ),
             api.Send,
         ).server
         for n in range(30)
@@ -449,11 +464,11 @@
 
 
 def test_a_popular_beginning_has_several_homes_on_a_large_fleet() -> None:
-    fleet = (*(entry(f"r{n}", READER) for n in range(26)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL) for n in range(26)), entry("w0", DECODE))
     used = {
-        only(
-            Bed(replace(SETTINGS, router=n, routers=100), fleet).ask(
-                "q", session=f"s{n}", beginning="hot", shared=1500
+        single(
+            RouterFixture(replace(SETTINGS, router=n, routers=100), fleet).arrive(
+                "q", session=f"s{n}", shared_prefix="hot", shared=1500
             ),
             api.Send,
         ).server
@@ -466,110 +481,110 @@
     readers: dict[str, int] = {}
     writers: dict[str, int] = {}
     for n in range(60):
-        bed = Bed(replace(ANSWERS, router=n, routers=60))
+        fixture = RouterFixture(replace(ANSWERS, router=n, routers=60))
         for name, load in (("r0", 0.0), ("r1", 900.0), ("w0", 3.0), ("w1", 4.0)):
-            bed.router._take_report(bed.router.servers[name], api.LoadReport(load, 0.0, 0.1, load))
-        send = only(bed.ask(f"q{n}"), api.Send)
+            fixture.router._take_report(fixture.router.servers[name], api.LoadReport(load, 0.0, 0.1, load))
+        send = single(fixture.arrive(f"q{n}"), api.Send)
         readers[send.server] = readers.get(send.server, 0) + 1
-        write = bed.read(send).server
+        write = fixture.finish_prefill(send).server
         writers[write] = writers.get(write, 0) + 1
     assert max(readers.values()) <= 30 and len(writers) >= 2
 
 
 def test_a_lopsided_cell_sends_its_surplus_to_cells_with_room() -> None:
     fleet = (
-        *(entry(f"r{n}", READER, cell=0) for n in range(4)),
-        entry("w0", WRITER, cell=0),
-        *(entry(f"w{n}", WRITER, cell=1) for n in range(1, 8)),
+        *(entry(f"r{n}", PREFILL, cell=0) for n in range(4)),
+        entry("w0", DECODE, cell=0),
+        *(entry(f"w{n}", DECODE, cell=1) for n in range(1, 8)),
     )
     many = replace(SETTINGS, routers=100)
-    written_at = [written(Bed(replace(many, router=n), fleet), f"q{n}")[1] for n in range(80)]
+    written_at = [written(RouterFixture(replace(many, router=n), fleet), f"q{n}")[1] for n in range(80)]
     assert 4 <= written_at.count("w0") <= 28
 
 
 def test_idle_routers_set_no_timers_and_send_no_probes() -> None:
-    bed = Bed(replace(SETTINGS, report_source=api.ReportSource.PROBES, may_probe=True))
-    assert not bed.wait(20 * SECOND)
+    fixture = RouterFixture(replace(SETTINGS, report_source=api.ReportSource.PROBES, may_probe=True))
+    assert not fixture.advance(20 * SECOND)
     for n in range(10):
-        bed.whole(f"q{n}")
-    assert len(of(bed.actions, api.Probe)) <= 2 * 10
+        fixture.run_request(f"q{n}")
+    assert len(of_type(fixture.actions, api.Probe)) <= 2 * 10
 
 
 def test_old_reports_are_drawn_to_the_mean() -> None:
-    bed = Bed(ANSWERS)
-    servers = [bed.router.servers[name] for name in ("w0", "w1")]
+    fixture = RouterFixture(ANSWERS)
+    servers = [fixture.router.servers[name] for name in ("w0", "w1")]
     for server, streams in zip(servers, (10.0, 30.0), strict=True):
-        bed.router._take_report(server, api.LoadReport(streams))
-    bed.router.now += 20 * SECOND
-    values, mean = bed.router._weigh([(s, bed.router._streams(s)) for s in servers])
+        fixture.router._take_report(server, api.LoadReport(streams))
+    fixture.router.now += 20 * SECOND
+    values, mean = fixture.router._weigh([(s, fixture.router._streams(s)) for s in servers])
     assert mean == 20.0 and all(abs(value - 20.0) < 0.1 for value in values.values())
 
 
 def test_a_client_with_little_time_is_refused_by_that_time() -> None:
-    bed = Bed()
-    warm(bed)
-    bed.router.latency[api.Role.READER].time = 1.0 * SECOND
-    bed.router.latency[api.Role.READER].at = bed.now
-    for server in bed.router.servers.values():
+    fixture = RouterFixture()
+    warm(fixture)
+    fixture.router.latency[api.Role.READER].time = 1.0 * SECOND
+    fixture.router.latency[api.Role.READER].at = fixture.now
+    for server in fixture.router.servers.values():
         server.pace = 0.0
-    assert only(bed.ask("long", prompt=1600), api.Send)
-    assert only(bed.ask("short", prompt=1600, left=600 * MS), api.Refuse)
+    assert single(fixture.arrive("long", prompt=1600), api.Send)
+    assert single(fixture.arrive("short", prompt=1600, left=600 * MS), api.Refuse)
 
 
 # Overload.
 
 
-def jam(bed: Bed) -> None:
+def jam(fixture: RouterFixture) -> None:
     """Every reader has a queue that takes 0.75 of the aim."""
-    warm(bed)
-    pace = bed.router.latency[api.Role.READER].pace()
-    for server in bed.router.servers.values():
+    warm(fixture)
+    pace = fixture.router.latency[api.Role.READER].pace()
+    for server in fixture.router.servers.values():
         if server.role is api.Role.READER:
             server.pace, server.work_out = pace, 0.75 * 2 * SECOND / pace
-    bed.router.latency[api.Role.READER].at = bed.now
+    fixture.router.latency[api.Role.READER].at = fixture.now
 
 
 def test_what_would_be_late_is_refused_and_the_less_worthy_first() -> None:
     cheap = replace(SETTINGS.classes[0], worth=0.1)
-    bed = Bed(
+    fixture = RouterFixture(
         replace(SETTINGS, classes=(SETTINGS.classes[0], cheap), may_advise_retry=True, max_retry_after=SECOND // 4)
     )
-    jam(bed)
-    assert only(bed.ask("worthy", prompt=64), api.Send)
-    assert only(bed.ask("cheap", prompt=64, class_index=1), api.Refuse).retry_after == SECOND // 4
+    jam(fixture)
+    assert single(fixture.arrive("worthy", prompt=64), api.Send)
+    assert single(fixture.arrive("cheap", prompt=64, class_index=1), api.Refuse).retry_after == SECOND // 4
 
 
 @pytest.mark.parametrize("per_1000, taken", [(CLASS.aim_per_1000_tokens, True), (0, False)])
 def test_a_long_prompt_is_judged_by_the_time_that_its_class_gives_for_its_length(per_1000: int, taken: bool) -> None:
     """Else the longest prompts of a class would be refused by an idle fleet."""
-    bed = Bed(replace(SETTINGS, classes=(replace(CLASS, aim_per_1000_tokens=per_1000),)))
-    warm(bed)
-    bed.router.latency[api.Role.READER].at = bed.now
-    actions = bed.ask("long", prompt=75_000)
-    assert bool(of(actions, api.Send)) == taken == (not of(actions, api.Refuse))
+    fixture = RouterFixture(replace(SETTINGS, classes=(replace(CLASS, aim_per_1000_tokens=per_1000),)))
+    warm(fixture)
+    fixture.router.latency[api.Role.READER].at = fixture.now
+    actions = fixture.arrive("long", prompt=75_000)
+    assert bool(of_type(actions, api.Send)) == taken == (not of_type(actions, api.Refuse))
 
 
 def test_a_router_that_refused_all_for_a_while_takes_requests_again_within_4_s() -> None:
     """A node that saw a jam must not go on turning away all that it gets: refusals bring it no news."""
-    bed = Bed(replace(SETTINGS, classes=(replace(CLASS, worth=1.0), replace(CLASS, worth=9.0))))
-    jam(bed)
-    assert only(bed.ask("jammed", prompt=1_600), api.Refuse)
+    fixture = RouterFixture(replace(SETTINGS, classes=(replace(CLASS, worth=1.0), replace(CLASS, worth=9.0))))
+    jam(fixture)
+    assert single(fixture.arrive("jammed", prompt=1_600), api.Refuse)
     answers = []
     for n in range(16):
-        bed.wait(SECOND // 4)
-        answers.append(bool(of(bed.ask(f"later{n}", prompt=1_600), api.Send)))
-        bed.give(api.RequestGone(f"later{n}"))
+        fixture.advance(SECOND // 4)
+        answers.append(bool(of_type(fixture.arrive(f"later{n}", prompt=1_600), api.Send)))
+        fixture.handle(api.RequestGone(f"later{n}"))
     assert any(answers)
 
 
 def test_a_tenant_over_its_quota_is_refused_first() -> None:
     tenants = (api.Tenant("big", 100.0), api.Tenant("small", 0.5))
-    bed = Bed(replace(SETTINGS, tenants=tenants, over_share_worth=0.05))
-    jam(bed)
+    fixture = RouterFixture(replace(SETTINGS, tenants=tenants, over_share_worth=0.05))
+    jam(fixture)
     for n in range(3):
-        assert only(bed.ask(f"q{n}", prompt=64, tenant=1), api.Send)
-    assert only(bed.ask("q4", prompt=64, tenant=1), api.Refuse)
-    assert only(bed.ask("q5", prompt=64, tenant=0), api.Send)
+        assert single(fixture.arrive(f"q{n}", prompt=64, tenant=1), api.Send)
+    assert single(fixture.arrive("q4", prompt=64, tenant=1), api.Refuse)
+    assert single(fixture.arrive("q5", prompt=64, tenant=0), api.Send)
 
 
 def test_expectations_fade_while_nothing_is_sampled() -> None:
@@ -581,33 +596,33 @@
 
 
 def test_an_attempt_that_ran_out_of_time_counts_as_slow() -> None:
-    bed = Bed()
-    warm(bed, 3)
-    before = bed.router.latency[api.Role.READER].time
-    send = only(bed.ask("q"), api.Send)
-    bed.end(send, api.Outcome.TIMED_OUT, 0, elapsed=8 * SECOND)
-    assert bed.router.latency[api.Role.READER].time > 2 * before
+    fixture = RouterFixture()
+    warm(fixture, 3)
+    before = fixture.router.latency[api.Role.READER].time
+    send = single(fixture.arrive("q"), api.Send)
+    fixture.end_attempt(send, api.Outcome.TIMED_OUT, 0, elapsed=8 * SECOND)
+    assert fixture.router.latency[api.Role.READER].time > 2 * before
 
 
 def test_a_flush_does_not_look_like_a_slow_reader() -> None:
-    bed = Bed(fleet=TWO_READERS[:1] + TWO_READERS[2:])
-    bed.whole("q1", session="s", prompt=16_000)  # type: ignore[arg-type]
-    before = bed.router.latency[api.Role.READER].pace()
-    bed.read(only(bed.ask("q2", session="s", prompt=16_160), api.Send), kept=0)
-    assert bed.router.latency[api.Role.READER].pace() < 1.5 * before
+    fixture = RouterFixture(fleet=TWO_READERS[:1] + TWO_READERS[2:])
+    fixture.run_request("q1", session="s", prompt=16_000)  # type: ignore[arg-type]
+    before = fixture.router.latency[api.Role.READER].pace()
+    fixture.finish_prefill(single(fixture.arrive("q2", session="s", prompt=16_160), api.Send), kept=0)
+    assert fixture.router.latency[api.Role.READER].pace() < 1.5 * before
 
 
 # The library's edges.
 
 
 def test_nothing_up_is_held_then_refused_in_time() -> None:
-    bed = Bed(fleet=())
-    assert not of(bed.ask("q1", left=SECOND), api.Refuse)
-    assert of(bed.wait(SECOND), api.Refuse) == [api.Refuse("q1", 0)]
+    fixture = RouterFixture(fleet=())
+    assert not of_type(fixture.arrive("q1", left=SECOND), api.Refuse)
+    assert of_type(fixture.advance(SECOND), api.Refuse) == [api.Refuse("q1", 0)]
 
 
 def test_stale_and_unknown_events_are_passed_over() -> None:
-    bed = Bed()
+    fixture = RouterFixture()
     for event in (
         api.FirstToken("x", 0, "r0", 1),
         api.RequestGone("x"),
@@ -616,7 +631,7 @@
         api.ProbeEnded("gone", api.Outcome.SERVED, 1),
         api.TimerFired(99),
     ):
-        assert not of(bed.give(event), api.Send)
+        assert not of_type(fixture.handle(event), api.Send)
 
 
 @pytest.mark.parametrize(
@@ -635,25 +650,25 @@
 
 def test_wrong_events_are_named() -> None:
     with pytest.raises(ValueError, match="unknown kind 9"):
-        Bed(fleet=(entry("x", 9),))
+        RouterFixture(fleet=(entry("x", 9),))
     with pytest.raises(ValueError, match="unknown class 3"):
-        Bed().ask("q", class_index=3)
+        RouterFixture().arrive("q", class_index=3)
 
 
 def test_the_list_is_subscribed_where_it_must_be_asked_for() -> None:
-    bed = Bed(replace(SETTINGS, list_on_request=True))
-    assert len(of(bed.wait(SECOND), api.Subscribe)) == 1
-    bed.give(api.ServerList(api.ListKind.FAILED))
-    assert not of(bed.wait(900 * MS), api.Subscribe)
-    assert len(of(bed.wait(SECOND), api.Subscribe)) == 1
+    fixture = RouterFixture(replace(SETTINGS, list_on_request=True))
+    assert len(of_type(fixture.advance(SECOND), api.Subscribe)) == 1
+    fixture.handle(api.ServerList(api.ListKind.FAILED))
+    assert not of_type(fixture.advance(900 * MS), api.Subscribe)
+    assert len(of_type(fixture.advance(SECOND), api.Subscribe)) == 1
 
 
 def test_a_reset_keeps_the_table_and_a_refused_connection_empties_it() -> None:
     for outcome, left in ((api.Outcome.RESET, 1), (api.Outcome.CONNECT_FAILED, 0)):
-        bed = Bed()
-        send = only(bed.ask("q1", session="s"), api.Send)
-        bed.end(send, outcome, 0)
-        assert len(bed.router.servers[send.server].table.entries) == left
+        fixture = RouterFixture()
+        send = single(fixture.arrive("q1", session="s"), api.Send)
+        fixture.end_attempt(send, outcome, 0)
+        assert len(fixture.router.servers[send.server].table.entries) == left
 
 
 def test_a_cold_server_is_sent_the_requests_of_its_share() -> None:
@@ -663,9 +678,9 @@
     inside = {name for name in names if spread_hash(name, "r0") < share}
     sent = set()
     for name in names:
-        bed = Bed()
-        bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry("r0", READER, started=bed.now),)))
-        if only(bed.ask(name), api.Send).server == "r0":
+        fixture = RouterFixture()
+        fixture.handle(api.ServerList(api.ListKind.CHANGES, 2, (entry("r0", PREFILL, started=fixture.now),)))
+        if single(fixture.arrive(name), api.Send).server == "r0":
             sent.add(name)
     assert len(inside) > 2 and sent == inside
 
@@ -673,23 +688,25 @@
 def test_a_cold_server_gets_each_request_once_where_all_are_cold() -> None:
     """Repeats of its share would come to it alone, since no other cold server may take them."""
     started = 100 * SECOND
-    fleet = (*(entry(f"r{n}", READER, started=started) for n in range(4)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL, started=started) for n in range(4)), entry("w0", DECODE))
     tried = 0
     for n in range(300):
-        bed = Bed(fleet=fleet, now=started)
-        for send in of(bed.ask(f"q{n}"), api.Send):
+        fixture = RouterFixture(fleet=fleet, now=started)
+        for send in of_type(fixture.arrive(f"q{n}"), api.Send):
             tried += 1
-            again = of(bed.end(send, api.Outcome.RESET, 0), api.Send) + of(bed.wait(5 * SECOND), api.Send)
+            again = of_type(fixture.end_attempt(send, api.Outcome.RESET, 0), api.Send) + of_type(
+                fixture.advance(5 * SECOND), api.Send
+            )
             assert send.server not in {each.server for each in again}
     assert tried > 4
 
 
 def test_while_a_class_is_held_back_first_attempts_go_where_it_was_served() -> None:
-    fleet = (*(entry(f"r{n}", READER) for n in range(9)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL) for n in range(9)), entry("w0", DECODE))
     for elapsed, spread in ((1 * MS, True), (300 * MS, False)):
-        bed = Bed(fleet=fleet)
-        served = bed.whole("first")
-        send = next(send for n in range(20) if (send := only(bed.ask(f"q{n}"), api.Send)).server != served)
-        bed.end(send, api.Outcome.FULL, 0, elapsed=elapsed)
-        later = {only(bed.ask(f"later{n}"), api.Send).server for n in range(12)}
+        fixture = RouterFixture(fleet=fleet)
+        served = fixture.run_request("first")
+        send = next(send for n in range(20) if (send := single(fixture.arrive(f"q{n}"), api.Send)).server != served)
+        fixture.end_attempt(send, api.Outcome.FULL, 0, elapsed=elapsed)
+        later = {single(fixture.arrive(f"later{n}"), api.Send).server for n in range(12)}
         assert (len(later) > 1) == spread
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -16,14 +16,14 @@
 from stonetrack.frontend.connection import Connection, HostState, Request
 from stonetrack.frontend.host import Host, listen, plain
 from stonetrack.node import sockets
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 from stonetrack.node.sockets import System
 from stonetrack.settings.schema import Limits, Timing
 from stonetrack.soak.latitude import KINDEST, Latitude, Sentence
 from stonetrack.soak.platform import Trouble
 from stonetrack.wire import http1
-from tests.platform import ask, headers, node, platform
-from tests.rig import CHAT, Client, wait_for
+from tests.harness import CHAT, Client, wait_for
+from tests.platform import headers, node, platform, round_trip
 
 GET = b"GET /%d HTTP/1.1\r\nHost: a\r\n\r\n"
 
@@ -293,7 +293,7 @@
         slow.trouble = Trouble.HANG_BEFORE
         client = Client(world.listen)
         for n in range(12):
-            assert ask(client, f"q{n}")[0].status == 200
+            assert round_trip(client, f"q{n}")[0].status == 200
         first = {each.request: each.engine for each in reversed(world.seen) if each.what == "read"}
         late = [request for request, engine in first.items() if engine == "r0"]
         assert late, "no read was given up at r0"
@@ -324,7 +324,7 @@
         router.settings = replace(router.settings, may_cancel=False)  # else the router's cancellation ends it
         with system(Slow()):
             client = Client(world.listen)
-            client.ask(b'{"model":"chat"}', CHAT, headers=headers("gone"))
+            client.send_request(b'{"model":"chat"}', CHAT, headers=headers("gone"))
             assert wait_for(lambda: any(s.waiting for s in router.servers.values()))
             time.sleep(0.05)
             if how == "half close":
@@ -337,4 +337,4 @@
             hold.set()
         time.sleep(0.2)
         assert not [what for what, _ in world.which("gone") if what in ("read", "write")]
-        assert ask(Client(world.listen), "next")[0].status == 200
+        assert round_trip(Client(world.listen), "next")[0].status == 200
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -29,7 +29,7 @@
 from stonetrack.daemon.controlled import Controlled
 from stonetrack.fleet.processes import program
 from stonetrack.settings import parse
-from tests.rig import raw_settings
+from tests.harness import raw_settings
 
 SECOND = 1_000_000_000
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -36,7 +36,7 @@
 from stonetrack.fleet.script import parse_script
 from stonetrack.settings import SettingsError
 from stonetrack.wire import writer
-from tests.rig import wait_for
+from tests.harness import wait_for
 
 # Jobs, without I/O.
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -22,7 +22,7 @@
 from stonetrack.fleet.processes import Process, program
 from stonetrack.settings import SettingsError, parse
 from stonetrack.wire import http1
-from tests.rig import QUICK, Client, chat, raw_settings, wait_for
+from tests.harness import QUICK, Client, chat, raw_settings, wait_for
 
 
 class Running:
@@ -59,7 +59,7 @@
 
     def get(self, path: str) -> Any:
         client = Client(self.port)
-        client.ask(b"", path=path, method="GET")
+        client.send_request(b"", path=path, method="GET")
         head, body = client.answer()
         client.close()
         return head, body
@@ -83,7 +83,7 @@
 def open_streams(node: Running, count: int) -> list[Client]:
     clients = [Client(node.port) for _ in range(count)]
     for client in clients:
-        client.ask(chat(stream=True))
+        client.send_request(chat(stream=True))
         while not client.events:
             client.events += client.reader.feed(client.sock.recv(4_000))
     return clients
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -17,8 +17,8 @@
 
 import pytest
 
-from tests.platform import ask, platform, up
-from tests.rig import Client, wait_for
+from tests.harness import Client, wait_for
+from tests.platform import platform, round_trip, up
 
 ROOT = Path(__file__).resolve().parents[1]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text("utf-8"))
@@ -85,7 +85,7 @@
         try:
             assert wait_for(lambda: up(world.listen)), "not up in time"
             client = Client(world.listen)
-            assert ask(client, "q0")[0].status == 200
+            assert round_trip(client, "q0")[0].status == 200
             proc = Path("/proc") / str(process.pid)  # the shell became the node: nothing stands between
             assert b"stonetrack\0edge" in (proc / "cmdline").read_bytes()
             children = [t.joinpath("children").read_text() for t in (proc / "task").iterdir()]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -27,7 +27,7 @@
 from stonetrack.settings import SettingsError
 from stonetrack.settings.schema import Kind, Limits, Listen, Timing
 from stonetrack.wire import http1, writer
-from tests.rig import wait_for
+from tests.harness import wait_for
 
 MS, SECOND = 1_000_000, 1_000_000_000
 KINDS = (Kind(name="reader", role=Role.READER), Kind(name="writer", role=Role.WRITER))
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -142,7 +142,7 @@
     save(tmp_path / "state.json", b"x")
     assert synced == [str(tmp_path / f"state.json.{os.getpid()}.new"), str(tmp_path)]
     with pytest.raises(OSError):
-        durable.sync_folder(tmp_path / "nowhere")
+        durable.sync_directory(tmp_path / "nowhere")
 
 
 def keeper(folder: Path, said: list[str], most_files: int = 8, file_bytes: int = 1 << 20) -> keeping.Keeper:
