--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -35,7 +35,7 @@
     """A capture of a busy node, made here; its size, opening, and replay over its own time."""
     config = api.Settings(
         classes=(api.RequestClass("c", 2_000 * MS, 40 * MS, 80 * MS, 10_000 * MS),),
-        kinds=(api.Kind(api.Role.READER, 200_000), api.Kind(api.Role.WRITER, 150_000)),
+        kinds=(api.Kind(api.Role.PREFILL, 200_000), api.Kind(api.Role.DECODE, 150_000)),
         report_source=api.ReportSource.ANSWERS)  # fmt: skip
     router = Router(config, 1)
     entries = tuple(api.ServerEntry(f"{'rw'[n % 2]}{n}", 0, n % 2, n // 12, api.ServerState.UP) for n in range(servers))
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -31,7 +31,7 @@
 def settings(nodes: int) -> list[api.Settings]:
     """Of each node."""
     cls = api.RequestClass("chat", 2 * SECOND, 40 * MS, 80 * MS, 6 * SECOND, 1.0, 0.2)
-    kinds = (api.Kind(Role.READER, 200_000), api.Kind(Role.WRITER, 200_000))
+    kinds = (api.Kind(Role.PREFILL, 200_000), api.Kind(Role.DECODE, 200_000))
     return [
         api.Settings((cls,), kinds, router=n, routers=nodes, may_cancel=True, may_probe=True,
                      report_source=api.ReportSource.ANSWERS, warm_within=4 * SECOND, cold_window=1500 * MS)
--- a/benchmarks/handle.py
+++ b/benchmarks/handle.py
@@ -16,7 +16,7 @@
     """CPU milliseconds a request, with every answer bringing a load report, sessions and shared beginnings."""
     settings = api.Settings(
         classes=(api.RequestClass("c", 2_000 * MS, 40 * MS, 80 * MS, 10_000 * MS),),
-        kinds=(api.Kind(api.Role.READER, 200_000), api.Kind(api.Role.WRITER, 150_000)),
+        kinds=(api.Kind(api.Role.PREFILL, 200_000), api.Kind(api.Role.DECODE, 150_000)),
         may_cancel=True, may_hold_place=True, report_source=api.ReportSource.ANSWERS)  # fmt: skip
     router = Router(settings, 1)
     entries = tuple(api.ServerEntry(f"{'rw'[n % 2]}{n}", 0, n % 2, n // 12, api.ServerState.UP) for n in range(servers))
--- a/benchmarks/ramps.py
+++ b/benchmarks/ramps.py
@@ -22,7 +22,7 @@
 
 NODES = (1, 3, 10, 30, 200)
 QUEUE = 0.2  # of a window
-READER = api.Kind(api.Role.READER, 200_000)
+READER = api.Kind(api.Role.PREFILL, 200_000)
 CLASS = api.RequestClass("chat", 2 * SECOND, 0, 0, 10 * SECOND)
 BASE = api.Settings(classes=(CLASS,), kinds=(READER,), max_attempts=4, cold_window=3 * SECOND)
 
@@ -108,7 +108,7 @@
         node = made[number]
         node.now = max(node.now, int(now))
         warm = ramp.engines if now < began else ramp.engines - ramp.cold
-        share = node._slow_start_share(api.Role.READER) if now >= began else 0.0
+        share = node._slow_start_share(api.Role.PREFILL) if now >= began else 0.0
         node._count_flow(ARRIVALS)
         chosen = int(draw.random() / share) if share else ramp.cold
         if chosen < ramp.cold:
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -28,7 +28,7 @@
 MS = 1_000_000
 SETTINGS = api.Settings(
     classes=(api.RequestClass("c", 2_000 * MS, 40 * MS, 80 * MS, 10_000 * MS),),
-    kinds=(api.Kind(api.Role.READER), api.Kind(api.Role.WRITER)),
+    kinds=(api.Kind(api.Role.PREFILL), api.Kind(api.Role.DECODE)),
 )
 BLOCK, SEGMENT = 2_000, 200
 
--- a/stonetrack/api.py
+++ b/stonetrack/api.py
@@ -14,9 +14,12 @@
 class Role(Enum):
     """What a kind of server does: read prompts, write answers, or both."""
 
-    READER = "reader"
-    WRITER = "writer"
+    PREFILL = "reader"
+    DECODE = "writer"
     MIXED = "mixed"
+    # Aliases: logic.py of an older revision, which a replay loads beside this module, uses these names.
+    READER = PREFILL
+    WRITER = DECODE
 
 
 class Effect(Enum):
--- a/stonetrack/daemon/readiness.py
+++ b/stonetrack/daemon/readiness.py
@@ -25,8 +25,8 @@
 
 def needed(settings: Node) -> tuple[frozenset[str], ...]:
     """Roles of which one engine must be there each."""
-    mixed, writer = Role.MIXED.value, Role.WRITER.value
-    reads = {Role.READER.value, mixed} | ({writer} if settings.routing.writers_read else set())
+    mixed, writer = Role.MIXED.value, Role.DECODE.value
+    reads = {Role.PREFILL.value, mixed} | ({writer} if settings.routing.writers_read else set())
     return frozenset(reads), frozenset({writer, mixed})
 
 
--- a/stonetrack/drill.py
+++ b/stonetrack/drill.py
@@ -13,7 +13,7 @@
 from stonetrack.logic import Router
 
 _EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
-_ROLES = {"read": api.Role.READER, "write": api.Role.WRITER, "both": api.Role.MIXED}
+_ROLES = {"read": api.Role.PREFILL, "write": api.Role.DECODE, "both": api.Role.MIXED}
 _SOURCES = {
     "inline": api.ReportSource.ANSWERS,
     "on_probe": api.ReportSource.PROBES,
--- a/stonetrack/edge/engines.py
+++ b/stonetrack/edge/engines.py
@@ -105,7 +105,7 @@
             self._trace(f"trace conn {ask.request} {number} {server} {age}")
         left = ask.body.deadline - self._clock()
         if self._records is not None:
-            reads = engine.role is api.Role.READER
+            reads = engine.role is api.Role.PREFILL
             self._records.note(
                 ask.request,
                 Step.SENT,
@@ -134,7 +134,7 @@
 
     def _abandon(self, request: str, engine: Engine) -> Callable[[socket.socket | None], None] | None:
         """What takes over an attempt that ends without its engine's word; only a read may leave something."""
-        if self.abandoned is None or engine.role is not api.Role.READER:
+        if self.abandoned is None or engine.role is not api.Role.PREFILL:
             return None
         return partial(self.abandoned.add, request, engine)
 
--- a/stonetrack/edge/exchange.py
+++ b/stonetrack/edge/exchange.py
@@ -148,7 +148,7 @@
                 return
             self._head = event
             self.reusable = event.keep_alive
-            self._first = event.status == 200 and self._role is not Role.READER
+            self._first = event.status == 200 and self._role is not Role.PREFILL
         elif isinstance(event, http1.Data):
             if self.began:
                 self._keep_end(event.data)
@@ -185,7 +185,7 @@
         if self.began:
             found = _CACHED.findall(self._tail)
             self._end(Outcome.SERVED, events, kept_tokens=int(found[-1]) if found else 0)
-        elif status == 202 and self._role is not Role.WRITER:
+        elif status == 202 and self._role is not Role.DECODE:
             self._end(Outcome.READ, events, kept_tokens=self._kept(), state=True)
         elif status == 410 and unprocessed:
             self._end(Outcome.FULL, events, why="the state to be fetched is gone", state_missing=True)
--- a/stonetrack/engines/client.py
+++ b/stonetrack/engines/client.py
@@ -84,9 +84,9 @@
         if engine is None or not may_send(server):
             return Over(api.Outcome.NOT_SENT, f"engine {server} is leaving or gone")
         role = engine.kind.role
-        if state is not None and role is api.Role.READER:
+        if state is not None and role is api.Role.PREFILL:
             state = None
-        if role is not api.Role.READER:
+        if role is not api.Role.PREFILL:
             self.background.past(ask.request)
         request = protocol.chat_request(
             ask, role, f"{engine.host}:{engine.port}", number, self._instance, state, place, engine.kind.load_header,
@@ -120,7 +120,7 @@
     def release(self, request: str, reader: str, state: Any, place: str, number: int, rest: bool) -> None:
         """See ``ports.Engines.release``; these engines let go of each thing by itself."""
         engine = self._engines.get(reader)
-        if state is None and (engine is None or engine.kind.role is not api.Role.READER):
+        if state is None and (engine is None or engine.kind.role is not api.Role.PREFILL):
             reader = ""
         if reader or place:
             self.background.release(request, reader, state, place, number)
--- a/stonetrack/engines/protocol.py
+++ b/stonetrack/engines/protocol.py
@@ -57,7 +57,7 @@
     """One attempt's request: a read, or a whole answer as a stream (with a state where a reader left one)."""
     body = dict(ask.body)
     body.pop("stream_options", None)
-    if role is Role.READER:
+    if role is Role.PREFILL:
         body["stream"] = False
         for field in ("max_completion_tokens", "max_tokens"):
             if body.pop(field, None) is not None:
@@ -83,7 +83,7 @@
         ("X-Request-Id", ask.request),
         ("X-Attempt", str(number)),
         ("X-Stonetrack-Instance", instance),
-        ("Accept", "application/json" if role is Role.READER else "text/event-stream"),
+        ("Accept", "application/json" if role is Role.PREFILL else "text/event-stream"),
     ]
     if load_header:
         headers.append(("Endpoint-Load-Metrics-Format", "TEXT"))
@@ -181,7 +181,7 @@
             self._head = event
             self.reusable = event.keep_alive
             kind = event.headers.get("content-type").partition(";")[0].strip().lower()
-            if event.status == 200 and self._role is not Role.READER:
+            if event.status == 200 and self._role is not Role.PREFILL:
                 if kind != "text/event-stream":
                     self._end(
                         Outcome.ERROR, events, why=f"the engine answered {kind or 'no type'}, not an event stream"
--- a/stonetrack/fleet/serving.py
+++ b/stonetrack/fleet/serving.py
@@ -280,11 +280,11 @@
             self._at(self.now + WAY, partial(self._ended, key, Outcome.CONNECT_FAILED))
             return
         params: dict[str, Any] = {"do_remote_decode": True}
-        if engine.spec.role is not Role.READER:
+        if engine.spec.role is not Role.PREFILL:
             params = {"do_remote_prefill": True, "remote_engine_id": asked.state_at}
         body = {**asked.body, "kv_transfer_params": params}
         self._note("request", engine=out.engine, id=out.request, n=str(out.number), instance=f"n{out.node}", conn=key,
-                   job="read" if engine.spec.role is Role.READER else "write")  # fmt: skip
+                   job="read" if engine.spec.role is Role.PREFILL else "write")  # fmt: skip
         self._take(out.engine, engine, engine.arrive(self.now, key, out.request, body, False, out.number))
 
     def _time_out(self, key: int) -> None:
--- a/stonetrack/logic.py
+++ b/stonetrack/logic.py
@@ -283,7 +283,7 @@
                 del self.servers[gone.name]
         for role, pool in self.pools.items():
             pool[:] = [s for s in self.servers.values() if s.role is role and s.state is ServerState.UP]
-        readers, writers = self.pools[Role.READER], self.pools[Role.WRITER]
+        readers, writers = self.pools[Role.PREFILL], self.pools[Role.DECODE]
         self.homes = 1 << max(0, (len(readers) // READERS_PER_HOME).bit_length() - 1)
         if self._asks():
             self.homes = max(2, self.homes // 2)  # each session has two of them, so half spread as wide
@@ -362,8 +362,8 @@
 
     def _choose_reader(self, request: Request) -> Server | None:
         """The reader with the highest score, unless the answer would come too late from any."""
-        whole = self.pools[Role.WRITER] if self.settings.writers_read else []
-        servers = self._usable(self.pools[Role.READER] + self.pools[Role.MIXED], request) or self._usable(
+        whole = self.pools[Role.DECODE] if self.settings.writers_read else []
+        servers = self._usable(self.pools[Role.PREFILL] + self.pools[Role.MIXED], request) or self._usable(
             whole, request
         )
         if not servers:
@@ -437,7 +437,7 @@
         Exception (crowded homes): a beginning that many share fills its homes while other readers idle, and
         to refuse then costs more than to read it anew.  Acts where the pair would be late; could add work
         where all are full, but only as much as those two have room for."""
-        others = self._usable(self.pools[Role.READER] + self.pools[Role.MIXED], request)
+        others = self._usable(self.pools[Role.PREFILL] + self.pools[Role.MIXED], request)
         others = [s for s in others if s.name not in request.pair]
         if len(request.pair) != 2 or not others:
             return False
@@ -464,7 +464,7 @@
         return max(server.work_out, (load or 0.0) * server.weight)
 
     def _choose_writer(self, request: Request, cell: int | None) -> Server | None:
-        servers = self._usable(self.pools[Role.WRITER], request) or self._usable(self.pools[Role.MIXED], request)
+        servers = self._usable(self.pools[Role.DECODE], request) or self._usable(self.pools[Role.MIXED], request)
         if not servers:
             return None
         # Exception (full memory): where own requests wait for a first token, long prompts fill the memory
@@ -539,8 +539,8 @@
         It may get ``cold_multiple`` times ``cold_share`` of what it would carry when warm.  No router knows that rate;
         but all together leave it the same share of their arrivals, as far as its warm peers are seen to carry these.
         What arrives beyond that is no measure of what a server can do."""
-        writes = role is Role.WRITER
-        peers = self.pools[role] if writes else self.pools[Role.READER] + self.pools[Role.MIXED]
+        writes = role is Role.DECODE
+        peers = self.pools[role] if writes else self.pools[Role.PREFILL] + self.pools[Role.MIXED]
         total = sum(s.weight for s in peers)
         warm = sum(s.weight for s in peers if self._warm(s))
         carried = LOAD_UNKNOWN
@@ -569,7 +569,7 @@
 
     def _good(self, server: Server, request: Request, elapsed: int) -> None:
         if self._warm(server):
-            self._count_flow(WRITES if server.role is Role.WRITER else READS)
+            self._count_flow(WRITES if server.role is Role.DECODE else READS)
         stat = self.latency[server.role]
         pace = elapsed / request.queue  # reads: for each token that stood before them and in them
         server.pace += (SMOOTH if server.pace else 1.0) * (pace - server.pace)
@@ -652,7 +652,7 @@
     def _advance(self, request: Request) -> None:
         """Move on a request that has no attempt out: send it, hold it, or end it.  Owed: ``Obligation.STATE``."""
         left = request.deadline - self.now
-        whole = self.pools[Role.MIXED] or (self.settings.writers_read and self.pools[Role.WRITER])
+        whole = self.pools[Role.MIXED] or (self.settings.writers_read and self.pools[Role.DECODE])
         steps = 1 if request.reader or whole else 2
         if left <= ANSWER_MARGIN or request.attempts + steps > self.settings.max_attempts:
             return self._give_up(request)
@@ -675,7 +675,7 @@
                     return self._give_up(request)  # it would be late: the work had better go to others
                 server = None
             if server is not None:
-                reading = server.role is Role.READER
+                reading = server.role is Role.PREFILL
                 self._send(request, server, Phase.READING if reading else Phase.WRITING)
                 return self._look_ahead(request, server.cell) if reading else None
         request.phase = Phase.HELD
@@ -694,9 +694,9 @@
 
     def _writers_wait(self) -> float:
         """Writers are also judged by who waits there now: their first tokens tell of it too late."""
-        ages = [self.now - min(s.waiting.values()) for s in self.pools[Role.WRITER] if s.waiting]
+        ages = [self.now - min(s.waiting.values()) for s in self.pools[Role.DECODE] if s.waiting]
         return max(
-            self.latency[Role.WRITER].recent(self.now, self.interval), sum(ages) / max(len(self.pools[Role.WRITER]), 1)
+            self.latency[Role.DECODE].recent(self.now, self.interval), sum(ages) / max(len(self.pools[Role.DECODE]), 1)
         )
 
     def _look_ahead(self, request: Request, cell: int) -> None:
@@ -712,7 +712,7 @@
         writer = self._choose_writer(request, cell)
         if writer is None or not self._warm(writer):
             return  # in slow start every call counts, so the send is its only one
-        beside = [s for s in self.pools[Role.WRITER] if s.cell == writer.cell and s is not writer]
+        beside = [s for s in self.pools[Role.DECODE] if s.cell == writer.cell and s is not writer]
         self.actions += [api.Probe(s.name) for s in [writer, *beside[:1]] if self._warm(s)]
 
     def _stands_too_long(self, request: Request) -> bool:
--- a/stonetrack/settings/check.py
+++ b/stonetrack/settings/check.py
@@ -72,7 +72,7 @@
                 f"over twice timing.answer_margin_ms ({node.timing.answer_margin_ms})",
             )
     roles = {k.role for k in node.kinds}
-    if api.Role.MIXED not in roles and not {api.Role.READER, api.Role.WRITER} <= roles:
+    if api.Role.MIXED not in roles and not {api.Role.PREFILL, api.Role.DECODE} <= roles:
         yield Problem("$.kinds", sorted(r.value for r in roles), "a reader and a writer, or a mixed kind")
     if bool(node.source.file) == bool(node.source.url):
         yield Problem("$.source", node.source.url or node.source.file, "either file or url")
--- a/stonetrack/standin/engine.py
+++ b/stonetrack/standin/engine.py
@@ -59,7 +59,7 @@
     @property
     def capacity(self) -> float:
         """Work a second when warm: tokens read, or streams written."""
-        if self.role is Role.WRITER:
+        if self.role is Role.DECODE:
             mean = (self.answer_least + self.answer_most) / 2.0
             return self.slots * 1000.0 / (mean * self.token_ms * (1.0 + self.crowding))
         return self.read_rate
@@ -277,9 +277,9 @@
             return out + refusal
         if place:
             self.places.pop(request, None)
-        if self.spec.role is Role.READER and ran is not Ran.READ:
+        if self.spec.role is Role.PREFILL and ran is not Ran.READ:
             return [*out, _error(key, 400, "this engine only reads prompts", "wrong_role")]
-        if self.spec.role is Role.WRITER and ran is not Ran.WRITE:
+        if self.spec.role is Role.DECODE and ran is not Ran.WRITE:
             return [*out, _error(key, 409, "no state to fetch, and this engine reads no prompts", "kv_state_missing")]
         if ran is Ran.WRITE:
             other = self.fleet(job.state_at)
@@ -301,7 +301,7 @@
         return out + self._next(now)
 
     def _work(self, job: Job) -> float:
-        return 1.0 if self.spec.role is Role.WRITER else float(job.work if job.ran is not Ran.WRITE else 0)
+        return 1.0 if self.spec.role is Role.DECODE else float(job.work if job.ran is not Ran.WRITE else 0)
 
     def _overloaded(self, now: int, work: float) -> bool:
         """Whether a cold engine is pushed over by what has come in its window."""
--- a/stonetrack/standin/host.py
+++ b/stonetrack/standin/host.py
@@ -690,6 +690,6 @@
 def small_fleet(readers: int, writers: int, mixed: int = 0, cells: int = 2, **more: Any) -> tuple[Spec, ...]:
     """Specs of a fleet spread over cells."""
     made = []
-    for role, count, letter in ((Role.READER, readers, "r"), (Role.WRITER, writers, "w"), (Role.MIXED, mixed, "m")):
+    for role, count, letter in ((Role.PREFILL, readers, "r"), (Role.DECODE, writers, "w"), (Role.MIXED, mixed, "m")):
         made += [Spec(name=f"{letter}{n}", role=role, cell=n % cells, **more) for n in range(count)]
     return tuple(made)
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -13,12 +13,12 @@
 CLASS = api.RequestClass("chat", 2 * SECOND, 40 * MS, 80 * MS, 10 * SECOND)
 SETTINGS = api.Settings(
     classes=(CLASS,),
-    kinds=(api.Kind(api.Role.READER, 200_000), api.Kind(api.Role.WRITER, 150_000), api.Kind(api.Role.MIXED)),
+    kinds=(api.Kind(api.Role.PREFILL, 200_000), api.Kind(api.Role.DECODE, 150_000), api.Kind(api.Role.MIXED)),
     routers=2,
     max_attempts=5,
     may_cancel=True,
 )
-READER, WRITER, MIXED = 0, 1, 2
+PREFILL, DECODE, MIXED = 0, 1, 2
 
 
 def entry(name: str, kind: int, cell: int = 0, **more: object) -> api.ServerEntry:
@@ -27,8 +27,8 @@
 
 
 FLEET = (
-    *(entry(f"r{n}", READER, cell=n % 2) for n in range(4)),
-    *(entry(f"w{n}", WRITER, cell=n % 2) for n in range(4)),
+    *(entry(f"r{n}", PREFILL, cell=n % 2) for n in range(4)),
+    *(entry(f"w{n}", DECODE, cell=n % 2) for n in range(4)),
 )
 
 
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -70,7 +70,7 @@
 
 
 def engine(name: str = "r0") -> Engine:
-    return Engine(name, "127.0.0.1", 1, Role.READER, True)
+    return Engine(name, "127.0.0.1", 1, Role.PREFILL, True)
 
 
 Pairs = list[tuple[socket.socket, socket.socket]]
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -8,9 +8,9 @@
 
 from stonetrack import api
 from stonetrack.logic import ASK_WAIT, FRESH, MS
-from tests.bed import CLASS, READER, SETTINGS, WRITER, Bed, entry, of, only
+from tests.bed import CLASS, DECODE, PREFILL, SETTINGS, Bed, entry, of, only
 
-MANY = (*(entry(f"r{n}", READER) for n in range(12)), *(entry(f"w{n}", WRITER) for n in range(4)))
+MANY = (*(entry(f"r{n}", PREFILL) for n in range(12)), *(entry(f"w{n}", DECODE) for n in range(4)))
 ASKING = replace(SETTINGS, may_probe=True, report_source=api.ReportSource.ANSWERS, routers=200)
 
 
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -22,9 +22,9 @@
     Stat,
     spread_hash,
 )
-from tests.bed import CLASS, FLEET, MIXED, READER, SETTINGS, WRITER, Bed, entry, of, only
+from tests.bed import CLASS, DECODE, FLEET, MIXED, PREFILL, SETTINGS, Bed, entry, of, only
 
-TWO_READERS = (entry("r0", READER), entry("r1", READER), entry("w0", WRITER), entry("w1", WRITER))
+TWO_READERS = (entry("r0", PREFILL), entry("r1", PREFILL), entry("w0", DECODE), entry("w1", DECODE))
 ANSWERS = replace(SETTINGS, report_source=api.ReportSource.ANSWERS)
 
 
@@ -76,7 +76,7 @@
 
 
 def test_a_mixed_server_competes_and_serves_whole() -> None:
-    bed = Bed(fleet=(entry("r0", READER), entry("m0", MIXED), entry("w0", WRITER)))
+    bed = Bed(fleet=(entry("r0", PREFILL), entry("m0", MIXED), entry("w0", DECODE)))
     served = set()
     for n in range(20):
         send = only(bed.ask(f"q{n}"), api.Send)
@@ -89,7 +89,7 @@
 
 
 def test_a_writer_alone_reads_where_writers_read() -> None:
-    fleet = (entry("w0", WRITER),)
+    fleet = (entry("w0", DECODE),)
     assert not of(Bed(fleet=fleet).ask("q"), api.Send)
     bed = Bed(replace(SETTINGS, writers_read=True), fleet)
     bed.serve(only(bed.ask("q"), api.Send), attempt=0)
@@ -112,8 +112,8 @@
     home = bed.whole("q1", session="s", prompt=1600)  # type: ignore[arg-type]
     other = {"r0": "r1", "r1": "r0"}[home]
     for name in (home, other):
-        bed.router.servers[name].pace = bed.router.latency[api.Role.READER].pace()
-    pace = bed.router.latency[api.Role.READER].pace()
+        bed.router.servers[name].pace = bed.router.latency[api.Role.PREFILL].pace()
+    pace = bed.router.latency[api.Role.PREFILL].pace()
     bed.router.servers[home].work_out = 1.2 * SECOND / pace
     bed.router.servers[other].work_out = bed.router.servers[home].work_out * 0.3
     assert only(bed.ask("q2", session="s", prompt=1600), api.Send).server == other
@@ -130,7 +130,7 @@
     bed = Bed()
     home = bed.whole("q1")
     started = bed.now
-    bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry(home, READER, started=started),)))
+    bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry(home, PREFILL, started=started),)))
     server = bed.router.servers[home]
     assert not server.table.entries
     assert server.cold_until == started + SETTINGS.warm_within
@@ -176,7 +176,7 @@
 
 
 def test_a_writer_without_a_report_counts_as_average() -> None:
-    bed = Bed(ANSWERS, (entry("r0", READER), entry("w0", WRITER), entry("w1", WRITER), entry("w2", WRITER)))
+    bed = Bed(ANSWERS, (entry("r0", PREFILL), entry("w0", DECODE), entry("w1", DECODE), entry("w2", DECODE)))
     for name, streams in (("w0", 10.0), ("w1", 30.0)):
         server = bed.router.servers[name]
         server.report, server.report_at = api.LoadReport(streams), bed.now
@@ -184,7 +184,7 @@
 
 
 def test_a_writer_where_requests_wait_is_passed_over() -> None:
-    bed = Bed(fleet=(entry("r0", READER), entry("w0", WRITER), entry("w1", WRITER)))
+    bed = Bed(fleet=(entry("r0", PREFILL), entry("w0", DECODE), entry("w1", DECODE)))
     stuck = bed.read(only(bed.ask("q0"), api.Send)).server
     other = {"w0": "w1", "w1": "w0"}[stuck]
     bed.router.servers[other].streams = 20
@@ -272,7 +272,7 @@
         assert of(bed.wait(1200 * MS), api.Cancel) == [api.Cancel("q", 1)]
     got = bed.end(write, lost, 1, elapsed=0)
     assert of(got, api.Release)
-    assert bed.router.servers[only(got, api.Send).server].role is api.Role.READER
+    assert bed.router.servers[only(got, api.Send).server].role is api.Role.PREFILL
 
 
 def test_an_error_leaves_a_server_out_and_a_good_outcome_brings_it_back() -> None:
@@ -302,7 +302,7 @@
 
 
 def test_never_more_than_a_third_of_a_role_is_left_out() -> None:
-    bed = Bed(fleet=(*(entry(f"r{n}", READER) for n in range(6)), entry("w0", WRITER)))
+    bed = Bed(fleet=(*(entry(f"r{n}", PREFILL) for n in range(6)), entry("w0", DECODE)))
     for server in list(bed.router.servers.values())[:6]:
         bed.router._eject(server, "test")
     assert sum(ALL in s.paused for s in bed.router.servers.values()) == 2
@@ -323,7 +323,7 @@
     actions = bed.end(write, api.Outcome.FULL, 1, state_missing=True)
     assert of(actions, api.Release) == [api.Release("q1")]
     again = only(actions, api.Send)
-    assert bed.router.servers[again.server].role is api.Role.READER and again.server != send.server
+    assert bed.router.servers[again.server].role is api.Role.PREFILL and again.server != send.server
 
 
 def test_a_state_is_let_go_of_in_time_though_its_attempts_never_reach_a_writer() -> None:
@@ -351,13 +351,13 @@
 def test_many_routers_together_do_not_push_a_cold_server_over() -> None:
     """All routers' sends to one cold server, each router seeing a request or two; and to a cold writer."""
     routers, each, size = 100, 6, 4
-    fleet = (*(entry(f"r{n}", READER) for n in range(size)), *(entry(f"w{n}", WRITER) for n in range(size)))
+    fleet = (*(entry(f"r{n}", PREFILL) for n in range(size)), *(entry(f"w{n}", DECODE) for n in range(size)))
     to_cold = {"r0": 0, "w0": 0}
     for number in range(routers):
         bed = Bed(replace(SETTINGS, router=number, routers=routers), fleet)
         bed.give(
             api.ServerList(
-                api.ListKind.CHANGES, 2, (entry("r0", READER, started=bed.now), entry("w0", WRITER, started=bed.now))
+                api.ListKind.CHANGES, 2, (entry("r0", PREFILL, started=bed.now), entry("w0", DECODE, started=bed.now))
             )
         )
         for n in range(each):
@@ -375,10 +375,10 @@
 def test_a_fleet_that_shares_nothing_keeps_below_what_a_cold_server_bears(routers: int, how: str) -> None:
     """The sum of all routers' sends in each window of the settings: more than N + 2 x root of N + 2 is a fall."""
     settings = replace(SETTINGS, routers=routers, cold_window=3 * SECOND, warm_within=12 * SECOND)
-    fleet = (*(entry(f"r{n}", READER) for n in range(8)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL) for n in range(8)), entry("w0", DECODE))
     draw = random.Random(f"{routers} {how}")
     began = 100 * SECOND
-    told = api.ServerList(api.ListKind.CHANGES, 2, (entry("r0", READER, started=began),))
+    told = api.ServerList(api.ListKind.CHANGES, 2, (entry("r0", PREFILL, started=began),))
 
     def started(number: int, now: int) -> Bed:
         bed = Bed(replace(settings, router=number), fleet, now=now)
@@ -424,7 +424,7 @@
 
 
 def test_a_further_attempt_goes_where_its_class_was_served_of_late() -> None:
-    fleet = (*(entry(f"r{n}", READER) for n in range(9)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL) for n in range(9)), entry("w0", DECODE))
     bed = Bed(fleet=fleet)
     served = bed.whole("first")
     for n in range(5):
@@ -449,7 +449,7 @@
 
 
 def test_a_popular_beginning_has_several_homes_on_a_large_fleet() -> None:
-    fleet = (*(entry(f"r{n}", READER) for n in range(26)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL) for n in range(26)), entry("w0", DECODE))
     used = {
         only(
             Bed(replace(SETTINGS, router=n, routers=100), fleet).ask(
@@ -478,9 +478,9 @@
 
 def test_a_lopsided_cell_sends_its_surplus_to_cells_with_room() -> None:
     fleet = (
-        *(entry(f"r{n}", READER, cell=0) for n in range(4)),
-        entry("w0", WRITER, cell=0),
-        *(entry(f"w{n}", WRITER, cell=1) for n in range(1, 8)),
+        *(entry(f"r{n}", PREFILL, cell=0) for n in range(4)),
+        entry("w0", DECODE, cell=0),
+        *(entry(f"w{n}", DECODE, cell=1) for n in range(1, 8)),
     )
     many = replace(SETTINGS, routers=100)
     written_at = [written(Bed(replace(many, router=n), fleet), f"q{n}")[1] for n in range(80)]
@@ -508,8 +508,8 @@
 def test_a_client_with_little_time_is_refused_by_that_time() -> None:
     bed = Bed()
     warm(bed)
-    bed.router.latency[api.Role.READER].time = 1.0 * SECOND
-    bed.router.latency[api.Role.READER].at = bed.now
+    bed.router.latency[api.Role.PREFILL].time = 1.0 * SECOND
+    bed.router.latency[api.Role.PREFILL].at = bed.now
     for server in bed.router.servers.values():
         server.pace = 0.0
     assert only(bed.ask("long", prompt=1600), api.Send)
@@ -522,11 +522,11 @@
 def jam(bed: Bed) -> None:
     """Every reader has a queue that takes 0.75 of the aim."""
     warm(bed)
-    pace = bed.router.latency[api.Role.READER].pace()
+    pace = bed.router.latency[api.Role.PREFILL].pace()
     for server in bed.router.servers.values():
-        if server.role is api.Role.READER:
+        if server.role is api.Role.PREFILL:
             server.pace, server.work_out = pace, 0.75 * 2 * SECOND / pace
-    bed.router.latency[api.Role.READER].at = bed.now
+    bed.router.latency[api.Role.PREFILL].at = bed.now
 
 
 def test_what_would_be_late_is_refused_and_the_less_worthy_first() -> None:
@@ -544,7 +544,7 @@
     """Else the longest prompts of a class would be refused by an idle fleet."""
     bed = Bed(replace(SETTINGS, classes=(replace(CLASS, aim_per_1000_tokens=per_1000),)))
     warm(bed)
-    bed.router.latency[api.Role.READER].at = bed.now
+    bed.router.latency[api.Role.PREFILL].at = bed.now
     actions = bed.ask("long", prompt=75_000)
     assert bool(of(actions, api.Send)) == taken == (not of(actions, api.Refuse))
 
@@ -583,18 +583,18 @@
 def test_an_attempt_that_ran_out_of_time_counts_as_slow() -> None:
     bed = Bed()
     warm(bed, 3)
-    before = bed.router.latency[api.Role.READER].time
+    before = bed.router.latency[api.Role.PREFILL].time
     send = only(bed.ask("q"), api.Send)
     bed.end(send, api.Outcome.TIMED_OUT, 0, elapsed=8 * SECOND)
-    assert bed.router.latency[api.Role.READER].time > 2 * before
+    assert bed.router.latency[api.Role.PREFILL].time > 2 * before
 
 
 def test_a_flush_does_not_look_like_a_slow_reader() -> None:
     bed = Bed(fleet=TWO_READERS[:1] + TWO_READERS[2:])
     bed.whole("q1", session="s", prompt=16_000)  # type: ignore[arg-type]
-    before = bed.router.latency[api.Role.READER].pace()
+    before = bed.router.latency[api.Role.PREFILL].pace()
     bed.read(only(bed.ask("q2", session="s", prompt=16_160), api.Send), kept=0)
-    assert bed.router.latency[api.Role.READER].pace() < 1.5 * before
+    assert bed.router.latency[api.Role.PREFILL].pace() < 1.5 * before
 
 
 # The library's edges.
@@ -664,7 +664,7 @@
     sent = set()
     for name in names:
         bed = Bed()
-        bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry("r0", READER, started=bed.now),)))
+        bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry("r0", PREFILL, started=bed.now),)))
         if only(bed.ask(name), api.Send).server == "r0":
             sent.add(name)
     assert len(inside) > 2 and sent == inside
@@ -673,7 +673,7 @@
 def test_a_cold_server_gets_each_request_once_where_all_are_cold() -> None:
     """Repeats of its share would come to it alone, since no other cold server may take them."""
     started = 100 * SECOND
-    fleet = (*(entry(f"r{n}", READER, started=started) for n in range(4)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL, started=started) for n in range(4)), entry("w0", DECODE))
     tried = 0
     for n in range(300):
         bed = Bed(fleet=fleet, now=started)
@@ -685,7 +685,7 @@
 
 
 def test_while_a_class_is_held_back_first_attempts_go_where_it_was_served() -> None:
-    fleet = (*(entry(f"r{n}", READER) for n in range(9)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL) for n in range(9)), entry("w0", DECODE))
     for elapsed, spread in ((1 * MS, True), (300 * MS, False)):
         bed = Bed(fleet=fleet)
         served = bed.whole("first")
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -102,7 +102,7 @@
     drill.run(io.StringIO(batch(1, born(0), *view(0))), io.StringIO())
     instance = drill.instances[0]
     settings = instance.router.settings
-    assert [k.role for k in settings.kinds] == [api.Role.READER, api.Role.WRITER]
+    assert [k.role for k in settings.kinds] == [api.Role.PREFILL, api.Role.DECODE]
     assert [k.memory_tokens for k in settings.kinds] == [200_000, 100_000]
     assert settings.classes[1].effect is api.Effect.KEYED
     assert settings.classes[1].scope is api.Scope.CELL
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -29,7 +29,7 @@
 from stonetrack.wire import http1
 
 LIMITS = http1.Limits(head=16_384, headers=64, body=1 << 20)
-READER, WRITER = api.Role.READER, api.Role.WRITER
+READER, WRITER = api.Role.PREFILL, api.Role.DECODE
 SETTINGS: dict[str, Any] = {
     "me": 1,
     "balancers": 2,
--- a/tests/test_edge_serving.py
+++ b/tests/test_edge_serving.py
@@ -145,7 +145,7 @@
 def test_a_release_is_tried_on_while_an_attempt_only_connects() -> None:
     """Engines that are cut off take all the time for connecting: what is held may not wait for that."""
     clock, heard, silent = time.monotonic_ns, threading.Event(), threading.Event()
-    readers = {f"r{n}": hosts.Engine(f"r{n}", "127.0.0.1", n + 1, api.Role.READER, True) for n in range(2)}
+    readers = {f"r{n}": hosts.Engine(f"r{n}", "127.0.0.1", n + 1, api.Role.PREFILL, True) for n in range(2)}
 
     class Cut(Pool):
         def take(self, host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -51,7 +51,7 @@
 STATE = {"kv_transfer_params": {"a": 1}, "usage": {"prompt_tokens_details": {"cached_tokens": 7}}}
 MISSING = {"error": {"message": "gone", "code": "kv_state_missing"}}
 FAULT = {"message": "too long", "param": "messages"}
-READER, WRITER = Role.READER, Role.WRITER
+READER, WRITER = Role.PREFILL, Role.DECODE
 ROWS: list[tuple[str, Role, bytes, Outcome, dict[str, Any]]] = [
     ("a read", READER, reply(200, STATE), Outcome.READ, {"state": {"a": 1}, "kept_tokens": 7}),
     ("a read without parameters", READER, reply(200, {}), Outcome.ERROR, {}),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -274,7 +274,7 @@
 
 @pytest.mark.parametrize("overtakes", ["the read's end", "the read"])
 def test_a_release_that_overtakes_its_read_leaves_no_state(overtakes: str) -> None:
-    spec = Spec(name="r0", role=Role.READER)
+    spec = Spec(name="r0", role=Role.PREFILL)
     engine = Engine(spec, 1, 0, WARM, lambda name: None)
     body = {"messages": [{"role": "user", "content": "where"}], "kv_transfer_params": {"do_remote_decode": True}}
     if overtakes == "the read":
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -30,7 +30,7 @@
 from tests.rig import wait_for
 
 MS, SECOND = 1_000_000, 1_000_000_000
-KINDS = (Kind(name="reader", role=Role.READER), Kind(name="writer", role=Role.WRITER))
+KINDS = (Kind(name="reader", role=Role.PREFILL), Kind(name="writer", role=Role.DECODE))
 
 
 def line(name: str, **more: Any) -> dict[str, Any]:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -33,7 +33,7 @@
     quick = replace(CLASS, first_token_aim=100 * MS, deadline=SECOND)
     bed.router.adopt(replace(SETTINGS, classes=(quick, replace(CLASS, name="second")), max_attempts=2))
     assert {name: dict(s.table.entries) for name, s in bed.router.servers.items()} == known
-    assert bed.router.latency[Role.READER].count == 1 and bed.router.requests["q1"].cls is CLASS
+    assert bed.router.latency[Role.PREFILL].count == 1 and bed.router.requests["q1"].cls is CLASS
     bed.read(out)  # what was under way goes on, by the class it came with
     assert bed.router.requests["q1"].aim() > SECOND
     bed.ask("q2", class_index=1, prompt=160)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -47,7 +47,7 @@
 
 
 def test_a_request_that_nobody_may_take_ends_all_the_same() -> None:
-    made = Play(settings(1), [Spec(name="w0", role=Role.WRITER)], 1)
+    made = Play(settings(1), [Spec(name="w0", role=Role.DECODE)], 1)
     (answered,) = made.run([Ask(0, "q", 0, 300)], 8.0)
     assert answered.ended == "refused" and answered.attempts == 0
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -10,7 +10,7 @@
 from benchmarks.ramps import NODES, bound, drawn, play
 from stonetrack import api, logic
 from stonetrack.logic import MS, SECOND, spread_hash
-from tests.bed import READER, SETTINGS, WRITER, Bed, entry, of, only
+from tests.bed import DECODE, PREFILL, SETTINGS, Bed, entry, of, only
 
 RAMPS = 50  # of each number of nodes; benchmarks/ramps.py plays a thousand
 ANSWERS = replace(SETTINGS, report_source=api.ReportSource.ANSWERS, may_probe=True, may_hold_place=True)
@@ -37,37 +37,37 @@
 
 def test_the_share_is_of_the_servers_role_however_few_are_asked_about() -> None:
     """One asked about alone was once given the share of a fleet of one: 0.38 of all."""
-    writers = [entry(f"w{n}", WRITER) for n in range(8)]
-    bed = Bed(ANSWERS, (entry("r0", READER), *writers))
+    writers = [entry(f"w{n}", DECODE) for n in range(8)]
+    bed = Bed(ANSWERS, (entry("r0", PREFILL), *writers))
     budget = SETTINGS.cold_multiple * SETTINGS.cold_share / len(writers)
     sent, asked_alone, names = 0, 0, [f"q{n}" for n in range(60)]
     for name in names:
         send = only(bed.ask(name), api.Send)
         cold = bed.router.servers["w3"]
-        bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry("w3", WRITER, started=bed.now),)))
+        bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry("w3", DECODE, started=bed.now),)))
         asked_alone += bool(bed.router._usable([cold], bed.router.requests[name]))
         went = only(bed.end(send, api.Outcome.READ, 0, 1 * MS), api.Send)
         sent += went.server == "w3"
-        bed.give(api.ServerList(api.ListKind.CHANGES, 3, (entry("w3", WRITER),)))
+        bed.give(api.ServerList(api.ListKind.CHANGES, 3, (entry("w3", DECODE),)))
         bed.give(api.FirstToken(name, 1, went.server, 1 * MS))
         bed.end(went, api.Outcome.SERVED, 1, 1 * MS, finished=True)
     assert sent <= asked_alone <= budget * len(names)
 
 
 def test_a_lighter_engine_gets_less() -> None:
-    light = [entry("r0", READER, started=100 * SECOND, weight=0.25), *(entry(f"r{n}", READER) for n in range(1, 4))]
-    bed = Bed(fleet=(*light, entry("w0", WRITER)))
-    shares = bed.router._slow_start_share(api.Role.READER) * bed.router.servers["r0"].weight
-    even = Bed(fleet=(entry("r0", READER, started=100 * SECOND), *light[1:], entry("w0", WRITER)))
-    assert shares == pytest.approx(even.router._slow_start_share(api.Role.READER) * 0.25 * 4 / 3.25)
+    light = [entry("r0", PREFILL, started=100 * SECOND, weight=0.25), *(entry(f"r{n}", PREFILL) for n in range(1, 4))]
+    bed = Bed(fleet=(*light, entry("w0", DECODE)))
+    shares = bed.router._slow_start_share(api.Role.PREFILL) * bed.router.servers["r0"].weight
+    even = Bed(fleet=(entry("r0", PREFILL, started=100 * SECOND), *light[1:], entry("w0", DECODE)))
+    assert shares == pytest.approx(even.router._slow_start_share(api.Role.PREFILL) * 0.25 * 4 / 3.25)
 
 
 def test_no_place_and_no_probe_goes_to_an_engine_in_slow_start() -> None:
     """Each call counts there, so that the budget is for sends alone."""
     settings = replace(ANSWERS, report_source=api.ReportSource.PROBES)
     for fleet_settings in (ANSWERS, settings):
-        cold = (*(entry(f"r{n}", READER) for n in range(14)),
-                *(entry(f"w{n}", WRITER, started=100 * SECOND) for n in range(3)), entry("w3", WRITER))  # fmt: skip
+        cold = (*(entry(f"r{n}", PREFILL) for n in range(14)),
+                *(entry(f"w{n}", DECODE, started=100 * SECOND) for n in range(3)), entry("w3", DECODE))  # fmt: skip
         asked = set()
         for n in range(300):
             bed = Bed(fleet_settings, cold)
@@ -77,7 +77,7 @@
 
 
 def test_a_reader_in_slow_start_is_neither_asked_nor_waited_for() -> None:
-    fleet = (*(entry(f"r{n}", READER, started=100 * SECOND if n < 7 else 0) for n in range(14)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL, started=100 * SECOND if n < 7 else 0) for n in range(14)), entry("w0", DECODE))
     asked, went = set(), set()
     for n in range(600):
         bed = Bed(ANSWERS, fleet)
@@ -92,9 +92,9 @@
 def test_a_request_is_sent_to_an_engine_in_slow_start_once_also_after_its_state_was_lost() -> None:
     """A writer that answers that the state is gone has had its call."""
     fleet = (
-        entry("r0", READER),
-        entry("r1", READER),
-        *(entry(f"w{n}", WRITER, started=100 * SECOND) for n in range(2)),
+        entry("r0", PREFILL),
+        entry("r1", PREFILL),
+        *(entry(f"w{n}", DECODE, started=100 * SECOND) for n in range(2)),
     )
     tried = 0
     for n in range(400):
@@ -113,7 +113,7 @@
 
 
 def test_where_all_are_cold_some_are_sent_requests() -> None:
-    fleet = (*(entry(f"r{n}", READER, started=100 * SECOND) for n in range(4)), entry("w0", WRITER))
+    fleet = (*(entry(f"r{n}", PREFILL, started=100 * SECOND) for n in range(4)), entry("w0", DECODE))
     names = [f"q{n}" for n in range(400)]
     sent = [name for name in names if of(Bed(fleet=fleet).ask(name), api.Send)]
     share = logic.SLOW_START_AIM * SETTINGS.cold_multiple * SETTINGS.cold_share * logic.LOAD_UNKNOWN / 4
