--- a/stonetrack/api.py
+++ b/stonetrack/api.py
@@ -1,8 +1,7 @@
 """The interface of stonetrack: settings in, events in, actions out.
 
-Times and durations are whole nanoseconds.  A caller builds ``Settings``, makes one
-``Router`` (see :mod:`stonetrack.logic`) and feeds it events; each call returns the actions to
-carry out, in order.  Nothing here decides anything.
+Times and durations are whole nanoseconds.  A caller builds ``Settings`` and one ``Router`` (:mod:`stonetrack.logic`)
+and passes it events; each call returns the actions to carry out, in order.  This module holds types only.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 
 
 class Role(Enum):
-    """What a kind of server does: read prompts, write answers, or both."""
+    """What a kind of server does: prefill, decode, or both."""
 
     PREFILL = "reader"
     DECODE = "writer"
@@ -23,7 +22,7 @@
 
 
 class Effect(Enum):
-    """What repeating a request may do."""
+    """Whether requests of a class are idempotent: always (SAFE), by their key (KEYED), or not (UNSAFE)."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -31,7 +30,7 @@
 
 
 class Scope(Enum):
-    """The servers that discard repeats of a keyed request."""
+    """Servers among which a repeat of a keyed request is recognised and discarded."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,7 +38,7 @@
 
 
 class ServerState(Enum):
-    """A server's state in the list."""
+    """State of a server in the server list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -47,7 +46,7 @@
 
 
 class ListKind(Enum):
-    """How a server list is to be taken."""
+    """What a server list contains: changes, all servers, those of a saved list, or nothing since discovery failed."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -56,7 +55,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt, or a probe, ended."""
+    """Result of an attempt or a probe.  READ: a prefill succeeded, and its engine holds the state."""
 
     SERVED = "served"
     ERROR = "error"
@@ -70,7 +69,7 @@
 
 
 class ReportSource(Enum):
-    """Where load reports come from."""
+    """What carries load reports."""
 
     ANSWERS = "answers"
     PROBES = "probes"
@@ -79,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """One class of requests: latency targets to the first token and for each token, utility, retry policy."""
 
     name: str
     first_token_aim: int
@@ -95,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and the rate that falls within its share, over all routers."""
+    """One tenant and its quota in requests per second, over all routers."""
 
     name: str
     quota_per_second: float = 0.0
@@ -103,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """One kind of server; memory in tokens, 0 where it is not told."""
+    """One kind of server; memory in tokens, 0 where it is not known."""
 
     role: Role
     memory_tokens: int = 0
@@ -111,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a router is told when it starts."""
+    """Configuration of a router."""
 
     classes: tuple[RequestClass, ...]
     kinds: tuple[Kind, ...]
@@ -140,7 +139,7 @@
     worth_by_work: bool = False
 
     def __post_init__(self) -> None:
-        """Raise ValueError naming the value that can't be used."""
+        """Raise ValueError that names the invalid value."""
         for role in [kind.role for kind in self.kinds if not isinstance(kind.role, Role)]:
             raise ValueError(f"unknown role {role!r}")
         for name, value in (
@@ -157,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One line of a server list; ``started`` is 0 for long ago."""
+    """One entry of a server list; ``started`` is 0 where the server started long ago."""
 
     server: str
     zone: int
@@ -170,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A server's own report; a value is None where it was not given."""
+    """Load as a server reports it; a value is None where it is missing."""
 
     in_flight: float | None = None
     queued: float | None = None
@@ -192,7 +191,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request has landed here and is owed one final answer within ``time_left``."""
+    """A request has arrived and is owed one final answer within ``time_left``."""
 
     request: str
     class_index: int
@@ -209,7 +208,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstToken:
-    """An attempt's answer has begun; the attempt now belongs to the client."""
+    """The answer to an attempt has begun and streams to the client."""
 
     request: str
     attempt: int
@@ -219,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceAnswer:
-    """A writer's answer to a place asked ahead."""
+    """Answer of a decode engine to a reservation."""
 
     request: str
     attempt: int
@@ -229,7 +228,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt's one outcome."""
+    """The one outcome of an attempt."""
 
     request: str
     attempt: int
@@ -244,21 +243,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestGone:
-    """The client has left; nothing more is owed."""
+    """The client has gone; no answer is owed."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set earlier."""
+    """A timer set by ``SetTimer`` has fired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """The result of a probe."""
+    """Result of a probe."""
 
     server: str
     outcome: Outcome
@@ -274,7 +273,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send the request to a server; ``time_limit`` 0 means until the client gives up."""
+    """Send the request to a server; ``time_limit`` 0 means until the client's deadline."""
 
     request: str
     server: str
@@ -283,7 +282,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldPlace:
-    """Ask a writer to hold a place for a request that is being read."""
+    """Reserve capacity at a decode engine for a request in its prefill."""
 
     request: str
     server: str
@@ -291,14 +290,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Let go of every state and place held for the request."""
+    """Release all states and reservations held for the request."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not taken, a retry is harmless."""
+    """Final answer: rejected, a retry is harmless."""
 
     request: str
     retry_after: int = 0
@@ -306,14 +305,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed, with no promise about a retry."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: str
     attempt: int
@@ -321,14 +320,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """End a running stream in good order, so that its client resumes it elsewhere."""
+    """End a running stream cleanly, so that its client resumes it elsewhere."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for its report."""
+    """Ask a server for its load report."""
 
     server: str
 
@@ -343,12 +342,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for changes of the server list as they happen."""
+    """Subscribe to changes of the server list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """One line for the operators."""
+    """One log line for operators."""
 
     text: str
 
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -1,4 +1,4 @@
-"""The scores, the two choices, and each exception: its test fails without it."""
+"""Scores, the choice of prefill and decode engines, and each exception: its test fails without the exception."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 )
 from tests.bed import CLASS, DECODE, FLEET, MIXED, PREFILL, SETTINGS, Bed, entry, of, only
 
-TWO_READERS = (entry("r0", PREFILL), entry("r1", PREFILL), entry("w0", DECODE), entry("w1", DECODE))
+TWO_PREFILL = (entry("r0", PREFILL), entry("r1", PREFILL), entry("w0", DECODE), entry("w1", DECODE))
 ANSWERS = replace(SETTINGS, report_source=api.ReportSource.ANSWERS)
 
 
 def warm(bed: Bed, count: int = 12) -> None:
-    """Teach the router its paces with requests one after another."""
+    """Let the router measure latencies on requests one after another."""
     for n in range(count):
         bed.whole(f"warm{n}")
         bed.now += SECOND
@@ -50,10 +50,10 @@
     assert "tiny" not in table.entries
 
 
-# Reader choice.
+# Choice of a prefill engine.
 
 
-def test_a_session_and_a_beginning_return_to_their_reader() -> None:
+def test_a_session_and_a_shared_prefix_return_to_their_prefill_engine() -> None:
     bed = Bed()
     first = bed.whole("q1", session="s", beginning="b", shared=1600, prompt=2000)  # type: ignore[arg-type]
     assert bed.whole("q2", session="s", prompt=2400) == first  # type: ignore[arg-type]
@@ -61,7 +61,7 @@
 
 
 def test_load_outweighs_no_match_and_reports_are_used() -> None:
-    bed = Bed(ANSWERS, TWO_READERS)
+    bed = Bed(ANSWERS, TWO_PREFILL)
     warm(bed)
     for name, tokens in (("r0", 90_000.0), ("r1", 0.0)):
         server = bed.router.servers[name]
@@ -75,7 +75,7 @@
     assert set().union(*picks) == {"r0", "r1", "r2", "r3"}
 
 
-def test_a_mixed_server_competes_and_serves_whole() -> None:
+def test_a_mixed_engine_competes_and_serves_the_whole_request() -> None:
     bed = Bed(fleet=(entry("r0", PREFILL), entry("m0", MIXED), entry("w0", DECODE)))
     served = set()
     for n in range(20):
@@ -88,7 +88,7 @@
     assert served == {"r0", "m0"}
 
 
-def test_a_writer_alone_reads_where_writers_read() -> None:
+def test_a_decode_engine_alone_prefills_where_the_settings_allow_it() -> None:
     fleet = (entry("w0", DECODE),)
     assert not of(Bed(fleet=fleet).ask("q"), api.Send)
     bed = Bed(replace(SETTINGS, writers_read=True), fleet)
@@ -97,25 +97,25 @@
 
 
 def test_tiny_spreads_of_load_are_not_stretched() -> None:
-    bed = Bed(fleet=TWO_READERS)
+    bed = Bed(fleet=TWO_PREFILL)
     warm(bed, 12)
     bed.router.prefill_work.mean = 5_000.0
     bed.router.prefill_work.mean_units = 1.0
-    home = bed.whole("q1", session="s", prompt=1600)  # type: ignore[arg-type]
-    bed.router.servers[home].pending_tokens = 60.0  # a sliver of work
-    assert only(bed.ask("q2", session="s", prompt=3200), api.Send).server == home
+    chosen = bed.whole("q1", session="s", prompt=1600)  # type: ignore[arg-type]
+    bed.router.servers[chosen].pending_tokens = 60.0  # few enough to be noise
+    assert only(bed.ask("q2", session="s", prompt=3200), api.Send).server == chosen
 
 
-def test_a_crowded_reader_is_passed_over_despite_its_prefix() -> None:
-    bed = Bed(fleet=TWO_READERS)
+def test_a_crowded_prefill_engine_is_not_chosen_despite_its_cached_prefix() -> None:
+    bed = Bed(fleet=TWO_PREFILL)
     warm(bed)
-    home = bed.whole("q1", session="s", prompt=1600)  # type: ignore[arg-type]
-    other = {"r0": "r1", "r1": "r0"}[home]
-    for name in (home, other):
+    chosen = bed.whole("q1", session="s", prompt=1600)  # type: ignore[arg-type]
+    other = {"r0": "r1", "r1": "r0"}[chosen]
+    for name in (chosen, other):
         bed.router.servers[name].unit_latency = bed.router.latency[api.Role.PREFILL].ratio()
     pace = bed.router.latency[api.Role.PREFILL].ratio()
-    bed.router.servers[home].pending_tokens = 1.2 * SECOND / pace
-    bed.router.servers[other].pending_tokens = bed.router.servers[home].pending_tokens * 0.3
+    bed.router.servers[chosen].pending_tokens = 1.2 * SECOND / pace
+    bed.router.servers[other].pending_tokens = bed.router.servers[chosen].pending_tokens * 0.3
     assert only(bed.ask("q2", session="s", prompt=1600), api.Send).server == other
 
 
@@ -126,18 +126,18 @@
     assert not bed.router.servers[send.server].prefix_table.entries
 
 
-def test_a_restart_told_by_the_list_empties_the_table_and_is_cold() -> None:
+def test_a_restart_in_the_server_list_empties_the_table_and_begins_a_slow_start() -> None:
     bed = Bed()
-    home = bed.whole("q1")
+    chosen = bed.whole("q1")
     started = bed.now
-    bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry(home, PREFILL, started=started),)))
-    server = bed.router.servers[home]
+    bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry(chosen, PREFILL, started=started),)))
+    server = bed.router.servers[chosen]
     assert not server.prefix_table.entries
     assert server.slow_start_until == started + SETTINGS.warm_within
 
 
-def test_a_read_that_finds_nothing_kept_voids_older_entries() -> None:
-    bed = Bed(fleet=TWO_READERS[:1] + TWO_READERS[2:])
+def test_a_prefill_that_finds_an_empty_cache_voids_older_entries() -> None:
+    bed = Bed(fleet=TWO_PREFILL[:1] + TWO_PREFILL[2:])
     for n in range(4):
         bed.whole(f"q{n}", session=f"s{n}", prompt=1600)  # type: ignore[arg-type]
     assert len(bed.router.servers["r0"].prefix_table.entries) == 4
@@ -147,52 +147,53 @@
     assert "session s0" in bed.router.servers["r0"].prefix_table.entries
 
 
-# Writer choice.
+# Choice of a decode engine.
 
 
-def written(bed: Bed, name: str) -> tuple[str, str]:
+def to_first_token(bed: Bed, name: str) -> tuple[str, str]:
+    """Serve a request to its first token; its prefill engine and its decode engine."""
     send = only(bed.ask(name), api.Send)
     write = bed.read(send)
     bed.give(api.FirstToken(name, 1, write.server, 50 * MS))
     return send.server, write.server
 
 
-def test_the_writer_is_in_the_readers_cell_with_the_fewest_streams() -> None:
+def test_the_decode_engine_is_in_the_prefill_engines_cell() -> None:
     bed = Bed()
     cells = {e.server: e.cell for e in FLEET}
     for n in range(8):
-        reader, writer = written(bed, f"q{n}")
-        assert cells[reader] == cells[writer]
+        prefill, decode = to_first_token(bed, f"q{n}")
+        assert cells[prefill] == cells[decode]
 
 
-def test_a_cell_whose_best_stands_well_above_the_mean_is_left() -> None:
+def test_a_cell_whose_least_loaded_decode_engine_is_well_above_the_mean_is_left() -> None:
     bed = Bed()
     for name in ("w0", "w2"):
         bed.router.servers[name].streams = 30
     for name in ("w1", "w3"):
         bed.router.servers[name].streams = 2
-    writers = {written(bed, f"q{n}")[1] for n in range(6)}
-    assert writers <= {"w1", "w3"}
+    decodes = {to_first_token(bed, f"q{n}")[1] for n in range(6)}
+    assert decodes <= {"w1", "w3"}
 
 
-def test_a_writer_without_a_report_counts_as_average() -> None:
+def test_a_decode_engine_without_a_report_counts_as_average() -> None:
     bed = Bed(ANSWERS, (entry("r0", PREFILL), entry("w0", DECODE), entry("w1", DECODE), entry("w2", DECODE)))
     for name, streams in (("w0", 10.0), ("w1", 30.0)):
         server = bed.router.servers[name]
         server.report, server.report_at = api.LoadReport(streams), bed.now
-    assert written(bed, "q")[1] == "w0"
+    assert to_first_token(bed, "q")[1] == "w0"
 
 
-def test_a_writer_where_requests_wait_is_passed_over() -> None:
+def test_a_decode_engine_where_requests_wait_is_not_chosen() -> None:
     bed = Bed(fleet=(entry("r0", PREFILL), entry("w0", DECODE), entry("w1", DECODE)))
     stuck = bed.read(only(bed.ask("q0"), api.Send)).server
     other = {"w0": "w1", "w1": "w0"}[stuck]
     bed.router.servers[other].streams = 20
     bed.now += 300 * MS
-    assert written(bed, "q1")[1] == other
+    assert to_first_token(bed, "q1")[1] == other
 
 
-def test_no_reservation_is_asked_for_and_an_answer_for_one_changes_nothing() -> None:
+def test_no_reservation_is_made_and_an_answer_to_one_changes_nothing() -> None:
     bed, told = Bed(replace(SETTINGS, may_hold_place=True)), Bed(replace(SETTINGS, may_hold_place=True))
     for n in range(20):
         sends = [only(each.ask(f"q{n}"), api.Send) for each in (bed, told)]
@@ -205,7 +206,7 @@
 # Health.
 
 
-def test_a_late_attempt_is_called_off_and_tried_elsewhere() -> None:
+def test_a_late_attempt_is_cancelled_and_retried_elsewhere() -> None:
     bed = Bed()
     send = only(bed.ask("q1"), api.Send)
     got = bed.wait(1200 * MS)
@@ -214,7 +215,7 @@
     assert again.server != send.server
 
 
-def test_two_late_attempts_in_a_row_leave_a_server_out_and_one_does_not() -> None:
+def test_two_late_attempts_in_a_row_eject_a_server_and_one_does_not() -> None:
     bed = Bed()
     sends = [only(bed.ask(f"q{n}", session="s"), api.Send) for n in range(2)]
     assert len({send.server for send in sends}) == 1
@@ -225,23 +226,23 @@
     assert not of(lone.wait(3 * SECOND), api.Log)
 
 
-def test_an_attempt_is_not_late_before_half_of_the_aim() -> None:
+def test_an_attempt_is_not_late_before_half_of_the_latency_target() -> None:
     bed = Bed()
     bed.ask("q1")
     assert not of(bed.wait(950 * MS), api.Cancel)
 
 
-def test_in_a_jam_calls_off_end() -> None:
-    """Nothing comes back quickly, so nothing pays for more than were saved up."""
+def test_cancellations_end_where_nothing_is_answered() -> None:
+    """No timely outcome adds to the cancellation budget, so no more are cancelled than it holds."""
     bed = Bed(replace(SETTINGS, max_attempts=9))
     for n in range(20):
         bed.ask(f"q{n}")
     assert len(of(bed.wait(9 * SECOND), api.Cancel)) <= MAX_CANCEL_BUDGET
 
 
-def test_an_attempt_is_waited_for_while_earlier_ones_still_come() -> None:
+def test_an_attempt_is_waited_for_while_earlier_ones_still_succeed() -> None:
     for answered, calls in (("first", 0), ("last", 1)):
-        bed = Bed(fleet=TWO_READERS[:1] + TWO_READERS[2:])
+        bed = Bed(fleet=TWO_PREFILL[:1] + TWO_PREFILL[2:])
         sends = {}
         for name in ("first", "middle", "last"):
             sends[name] = only(bed.ask(name), api.Send)
@@ -251,7 +252,7 @@
         assert len([c for c in of(got, api.Cancel) if c.request == "middle"]) == calls
 
 
-def test_quick_outcomes_pay_for_calls_off() -> None:
+def test_timely_outcomes_add_to_the_cancellation_budget() -> None:
     bed = Bed()
     bed.router.cancel_budget = 0.0
     bed.ask("q")
@@ -265,7 +266,7 @@
 
 
 @pytest.mark.parametrize("lost", [api.Outcome.CANCELLED, api.Outcome.RESET])
-def test_a_lost_answer_is_read_anew_when_two_attempts_are_left(lost: api.Outcome) -> None:
+def test_a_lost_answer_is_prefilled_again_when_two_attempts_are_left(lost: api.Outcome) -> None:
     bed = Bed(replace(SETTINGS, max_attempts=4))
     write = bed.read(only(bed.ask("q"), api.Send))
     if lost is api.Outcome.CANCELLED:
@@ -275,8 +276,8 @@
     assert bed.router.servers[only(got, api.Send).server].role is api.Role.PREFILL
 
 
-def test_an_error_leaves_a_server_out_and_a_good_outcome_brings_it_back() -> None:
-    bed = Bed(fleet=TWO_READERS)
+def test_an_error_ejects_a_server_and_a_success_ends_the_ejection() -> None:
+    bed = Bed(fleet=TWO_PREFILL)
     server = bed.router.servers["r0"]
     bed.router._eject(server, "error")
     first = server.ejections[ALL_CLASSES].duration
@@ -289,7 +290,7 @@
     assert ALL_CLASSES not in server.ejections
 
 
-def test_a_router_that_seldom_comes_by_leaves_servers_out_for_longer() -> None:
+def test_a_router_with_few_requests_ejects_servers_for_longer() -> None:
     spans = []
     for gap in (50 * MS, 2 * SECOND):
         bed = Bed()
@@ -301,22 +302,22 @@
     assert spans[0] < 3 * SECOND < 10 * SECOND < spans[1] <= MAX_EJECTION_NS
 
 
-def test_never_more_than_a_third_of_a_role_is_left_out() -> None:
+def test_never_more_than_a_third_of_a_role_is_ejected() -> None:
     bed = Bed(fleet=(*(entry(f"r{n}", PREFILL) for n in range(6)), entry("w0", DECODE)))
     for server in list(bed.router.servers.values())[:6]:
         bed.router._eject(server, "test")
     assert sum(ALL_CLASSES in s.ejections for s in bed.router.servers.values()) == 2
 
 
-def test_a_full_server_is_paused_and_another_tried() -> None:
-    bed = Bed(fleet=TWO_READERS)
+def test_a_full_server_is_ejected_and_another_tried() -> None:
+    bed = Bed(fleet=TWO_PREFILL)
     send = only(bed.ask("q1"), api.Send)
     again = only(bed.end(send, api.Outcome.FULL, 0), api.Send)
     assert again.server != send.server
     assert bed.whole("q2") == again.server
 
 
-def test_a_missing_state_is_read_again_elsewhere() -> None:
+def test_a_missing_state_is_prefilled_again_elsewhere() -> None:
     bed = Bed()
     send = only(bed.ask("q1"), api.Send)
     write = bed.read(send)
@@ -326,19 +327,19 @@
     assert bed.router.servers[again.server].role is api.Role.PREFILL and again.server != send.server
 
 
-def test_a_state_is_let_go_of_in_time_though_its_attempts_never_reach_a_writer() -> None:
-    """Connections that never come up leave the state with no attempt at any engine; it has to go all the same."""
+def test_a_state_is_released_in_time_though_its_attempts_never_reach_a_decode_engine() -> None:
+    """Where no connection comes up, the state has no attempt at any engine, and has to be released all the same."""
     bed = Bed(replace(SETTINGS, connect_timeout=250 * MS, release_within=500 * MS), FLEET)
     send = bed.read(only(bed.ask("q"), api.Send))
-    read_at = bed.now
+    prefilled_at = bed.now
     attempt = 1
     while not of(bed.actions, api.Release):
-        assert bed.now - read_at <= 500 * MS and send.server[0] == "w"
+        assert bed.now - prefilled_at <= 500 * MS and send.server[0] == "w"
         got = bed.end(send, api.Outcome.CONNECT_FAILED, attempt, 250 * MS)
         attempt += 1
         send = next((each for each in reversed(of(got, api.Send))), send)
-    assert attempt == 3  # a second writer was tried: one that is dead does not cost the state
-    assert bed.now - read_at == 500 * MS and send.server[0] == "r"  # and it is read anew at once
+    assert attempt == 3  # a second decode engine was tried: a dead one does not cost the state
+    assert bed.now - prefilled_at == 500 * MS and send.server[0] == "r"  # and the next prefill begins at once
 
 
 def test_a_state_counts_from_the_last_attempt_that_reached_an_engine() -> None:
@@ -348,11 +349,11 @@
     assert send.server[0] == "w" and not of(bed.actions, api.Release)
 
 
-def test_many_routers_together_do_not_push_a_cold_server_over() -> None:
-    """All routers' sends to one cold server, each router seeing a request or two; and to a cold writer."""
+def test_many_routers_together_keep_within_a_slow_start_budget() -> None:
+    """All routers' sends to one prefill and one decode engine in slow start, each router with a few requests."""
     routers, each, size = 100, 6, 4
     fleet = (*(entry(f"r{n}", PREFILL) for n in range(size)), *(entry(f"w{n}", DECODE) for n in range(size)))
-    to_cold = {"r0": 0, "w0": 0}
+    sends_to = {"r0": 0, "w0": 0}
     for number in range(routers):
         bed = Bed(replace(SETTINGS, router=number, routers=routers), fleet)
         bed.give(
@@ -363,26 +364,26 @@
         for n in range(each):
             bed.whole(f"q{number}-{n}")
         for send in of(bed.actions, api.Send):
-            if send.server in to_cold:
-                to_cold[send.server] += 1
+            if send.server in sends_to:
+                sends_to[send.server] += 1
     even = routers * each / size
-    bearable = SETTINGS.cold_multiple * SETTINGS.cold_share * even
-    assert all(0 < count <= bearable * 0.6 for count in to_cold.values()), to_cold
+    budget = SETTINGS.cold_multiple * SETTINGS.cold_share * even
+    assert all(0 < count <= budget * 0.6 for count in sends_to.values()), sends_to
 
 
 @pytest.mark.parametrize("routers", [1, 3, 10, 30, 200])
 @pytest.mark.parametrize("how", ["even", "uneven", "burst", "restarts"])
-def test_a_fleet_that_shares_nothing_keeps_below_what_a_cold_server_bears(routers: int, how: str) -> None:
-    """The sum of all routers' sends in each window of the settings: more than N + 2 x root of N + 2 is a fall."""
+def test_routers_that_share_nothing_keep_below_what_a_server_in_slow_start_bears(routers: int, how: str) -> None:
+    """Sum of all routers' sends in each window: a server that gets more than N + 2 sqrt(N) + 2 fails."""
     settings = replace(SETTINGS, routers=routers, cold_window=3 * SECOND, warm_within=12 * SECOND)
     fleet = (*(entry(f"r{n}", PREFILL) for n in range(8)), entry("w0", DECODE))
     draw = random.Random(f"{routers} {how}")
     began = 100 * SECOND
-    told = api.ServerList(api.ListKind.CHANGES, 2, (entry("r0", PREFILL, started=began),))
+    change = api.ServerList(api.ListKind.CHANGES, 2, (entry("r0", PREFILL, started=began),))
 
     def started(number: int, now: int) -> Bed:
         bed = Bed(replace(settings, router=number), fleet, now=now)
-        bed.give(told)
+        bed.give(change)
         return bed
 
     beds = [started(number, began) for number in range(routers)]
@@ -390,40 +391,40 @@
     windows, each = 4, 400
     for window in range(windows):
         requests = each * (2 if how == "burst" and window == 1 else 1)
-        cold = 0
+        to_cold = 0
         for n in range(requests):
             now = began + window * settings.cold_window + n * settings.cold_window // requests
             number = draw.choices(range(routers), weights)[0]
             if how == "restarts" and draw.random() < 0.1:
-                beds[number] = started(number, now)  # it knows nothing of what it sent before
+                beds[number] = started(number, now)  # the new one knows nothing of what it sent before
             bed = beds[number]
             bed.now = max(bed.now, now)
             name = f"q{window}-{n}"
             send = only(bed.ask(name, beginning="popular", shared=1_500), api.Send)
-            cold += send.server == "r0"
-            if send.server != "r0":  # warm readers carry what comes
+            to_cold += send.server == "r0"
+            if send.server != "r0":  # warm engines carry what arrives
                 bed.end(bed.read(send, elapsed=0), api.Outcome.SERVED, 1, 0, finished=True)
             else:
                 bed.give(api.RequestGone(name))
-        bears = settings.cold_multiple * settings.cold_share * each / 8
-        assert 0 < cold <= bears + 2 * bears**0.5 + 2, (window, cold, bears)
+        budget = settings.cold_multiple * settings.cold_share * each / 8
+        assert 0 < to_cold <= budget + 2 * budget**0.5 + 2, (window, to_cold, budget)
 
 
-def test_a_refusal_that_takes_its_time_is_booked_to_its_class_alone() -> None:
+def test_a_slow_rejection_ejects_for_its_class_alone() -> None:
     classes = (SETTINGS.classes[0], SETTINGS.classes[0])
-    bed = Bed(replace(SETTINGS, classes=classes), TWO_READERS)
+    bed = Bed(replace(SETTINGS, classes=classes), TWO_PREFILL)
     send = only(bed.ask("q1"), api.Send)
     other = only(bed.end(send, api.Outcome.FULL, 0, elapsed=300 * MS), api.Send).server
     assert other != send.server
     assert {only(bed.ask(f"a{n}"), api.Send).server for n in range(6)} == {other}
     assert send.server in {only(bed.ask(f"b{n}", class_index=1), api.Send).server for n in range(6)}
-    bed = Bed(replace(SETTINGS, classes=classes), TWO_READERS)
+    bed = Bed(replace(SETTINGS, classes=classes), TWO_PREFILL)
     send = only(bed.ask("q1"), api.Send)
     bed.end(send, api.Outcome.FULL, 0, elapsed=1 * MS)
     assert send.server not in {only(bed.ask(f"b{n}", class_index=1), api.Send).server for n in range(6)}
 
 
-def test_a_further_attempt_goes_where_its_class_was_served_of_late() -> None:
+def test_a_further_attempt_goes_where_its_class_was_served_recently() -> None:
     fleet = (*(entry(f"r{n}", PREFILL) for n in range(9)), entry("w0", DECODE))
     bed = Bed(fleet=fleet)
     served = bed.whole("first")
@@ -437,18 +438,18 @@
 # Many routers.
 
 
-def test_routers_agree_on_a_home_and_an_unloaded_one_is_near_enough() -> None:
-    homes = {
+def test_routers_agree_on_the_preferred_replica_of_a_shared_prefix() -> None:
+    replicas = {
         only(
             Bed(replace(SETTINGS, router=n, routers=100)).ask(f"q{n}", session=f"s{n}", beginning="b", shared=1500),
             api.Send,
         ).server
         for n in range(30)
     }
-    assert len(homes) == 1
+    assert len(replicas) == 1
 
 
-def test_a_popular_beginning_has_several_homes_on_a_large_fleet() -> None:
+def test_a_popular_shared_prefix_has_several_preferred_replicas_in_a_large_fleet() -> None:
     fleet = (*(entry(f"r{n}", PREFILL) for n in range(26)), entry("w0", DECODE))
     used = {
         only(
@@ -463,17 +464,17 @@
 
 
 def test_many_routers_with_one_report_do_not_all_take_one_server() -> None:
-    readers: dict[str, int] = {}
-    writers: dict[str, int] = {}
+    prefills: dict[str, int] = {}
+    decodes: dict[str, int] = {}
     for n in range(60):
         bed = Bed(replace(ANSWERS, router=n, routers=60))
         for name, load in (("r0", 0.0), ("r1", 900.0), ("w0", 3.0), ("w1", 4.0)):
             bed.router._store_report(bed.router.servers[name], api.LoadReport(load, 0.0, 0.1, load))
         send = only(bed.ask(f"q{n}"), api.Send)
-        readers[send.server] = readers.get(send.server, 0) + 1
-        write = bed.read(send).server
-        writers[write] = writers.get(write, 0) + 1
-    assert max(readers.values()) <= 30 and len(writers) >= 2
+        prefills[send.server] = prefills.get(send.server, 0) + 1
+        decode = bed.read(send).server
+        decodes[decode] = decodes.get(decode, 0) + 1
+    assert max(prefills.values()) <= 30 and len(decodes) >= 2
 
 
 def test_a_lopsided_cell_sends_its_surplus_to_cells_with_room() -> None:
@@ -483,8 +484,8 @@
         *(entry(f"w{n}", DECODE, cell=1) for n in range(1, 8)),
     )
     many = replace(SETTINGS, routers=100)
-    written_at = [written(Bed(replace(many, router=n), fleet), f"q{n}")[1] for n in range(80)]
-    assert 4 <= written_at.count("w0") <= 28
+    decode_engines = [to_first_token(Bed(replace(many, router=n), fleet), f"q{n}")[1] for n in range(80)]
+    assert 4 <= decode_engines.count("w0") <= 28
 
 
 def test_idle_routers_set_no_timers_and_send_no_probes() -> None:
@@ -495,7 +496,7 @@
     assert len(of(bed.actions, api.Probe)) <= 2 * 10
 
 
-def test_old_reports_are_drawn_to_the_mean() -> None:
+def test_old_reports_move_towards_the_mean() -> None:
     bed = Bed(ANSWERS)
     servers = [bed.router.servers[name] for name in ("w0", "w1")]
     for server, streams in zip(servers, (10.0, 30.0), strict=True):
@@ -505,7 +506,7 @@
     assert mean == 20.0 and all(abs(value - 20.0) < 0.1 for value in values.values())
 
 
-def test_a_client_with_little_time_is_refused_by_that_time() -> None:
+def test_a_client_with_little_time_is_judged_by_that_time() -> None:
     bed = Bed()
     warm(bed)
     bed.router.latency[api.Role.PREFILL].mean = 1.0 * SECOND
@@ -519,8 +520,8 @@
 # Overload.
 
 
-def jam(bed: Bed) -> None:
-    """Every reader has a queue that takes 0.75 of the aim."""
+def fill_queues(bed: Bed) -> None:
+    """Every prefill engine has a queue that takes 0.75 of the latency target."""
     warm(bed)
     pace = bed.router.latency[api.Role.PREFILL].ratio()
     for server in bed.router.servers.values():
@@ -529,19 +530,19 @@
     bed.router.latency[api.Role.PREFILL].updated_at = bed.now
 
 
-def test_what_would_be_late_is_refused_and_the_less_worthy_first() -> None:
+def test_what_would_be_late_is_refused_and_requests_of_low_utility_first() -> None:
     cheap = replace(SETTINGS.classes[0], worth=0.1)
     bed = Bed(
         replace(SETTINGS, classes=(SETTINGS.classes[0], cheap), may_advise_retry=True, max_retry_after=SECOND // 4)
     )
-    jam(bed)
+    fill_queues(bed)
     assert only(bed.ask("worthy", prompt=64), api.Send)
     assert only(bed.ask("cheap", prompt=64, class_index=1), api.Refuse).retry_after == SECOND // 4
 
 
 @pytest.mark.parametrize("per_1000, taken", [(CLASS.aim_per_1000_tokens, True), (0, False)])
-def test_a_long_prompt_is_judged_by_the_time_that_its_class_gives_for_its_length(per_1000: int, taken: bool) -> None:
-    """Else the longest prompts of a class would be refused by an idle fleet."""
+def test_a_long_prompt_is_judged_by_the_latency_target_for_its_length(per_1000: int, taken: bool) -> None:
+    """Otherwise an idle fleet would refuse the longest prompts of a class."""
     bed = Bed(replace(SETTINGS, classes=(replace(CLASS, aim_per_1000_tokens=per_1000),)))
     warm(bed)
     bed.router.latency[api.Role.PREFILL].updated_at = bed.now
@@ -549,10 +550,10 @@
     assert bool(of(actions, api.Send)) == taken == (not of(actions, api.Refuse))
 
 
-def test_a_router_that_refused_all_for_a_while_takes_requests_again_within_4_s() -> None:
-    """A node that saw a jam must not go on turning away all that it gets: refusals bring it no news."""
+def test_a_router_that_refused_all_requests_admits_some_again_within_4_s() -> None:
+    """Refusals give a node no samples of latency, so what it measured in an overload must not last."""
     bed = Bed(replace(SETTINGS, classes=(replace(CLASS, worth=1.0), replace(CLASS, worth=9.0))))
-    jam(bed)
+    fill_queues(bed)
     assert only(bed.ask("jammed", prompt=1_600), api.Refuse)
     answers = []
     for n in range(16):
@@ -565,19 +566,19 @@
 def test_a_tenant_over_its_quota_is_refused_first() -> None:
     tenants = (api.Tenant("big", 100.0), api.Tenant("small", 0.5))
     bed = Bed(replace(SETTINGS, tenants=tenants, over_share_worth=0.05))
-    jam(bed)
+    fill_queues(bed)
     for n in range(3):
         assert only(bed.ask(f"q{n}", prompt=64, tenant=1), api.Send)
     assert only(bed.ask("q4", prompt=64, tenant=1), api.Refuse)
     assert only(bed.ask("q5", prompt=64, tenant=0), api.Send)
 
 
-def test_expectations_fade_while_nothing_is_sampled() -> None:
+def test_expected_latency_decays_without_samples() -> None:
     stat = RunningStats()
     stat.add(3.0 * SECOND, 1.0, now=0)
     assert stat.recent_ratio(0) == pytest.approx(3.0 * SECOND)
     assert stat.recent_ratio(3 * SECOND) < 0.6 * SECOND
-    assert stat.recent_ratio(3 * SECOND, 2.0 * SECOND) > 2 * SECOND, "a gap that is usual says nothing"
+    assert stat.recent_ratio(3 * SECOND, 2.0 * SECOND) > 2 * SECOND, "a usual gap between samples changes nothing"
 
 
 def test_an_attempt_that_ran_out_of_time_counts_as_slow() -> None:
@@ -589,24 +590,24 @@
     assert bed.router.latency[api.Role.PREFILL].mean > 2 * before
 
 
-def test_a_flush_does_not_look_like_a_slow_reader() -> None:
-    bed = Bed(fleet=TWO_READERS[:1] + TWO_READERS[2:])
+def test_a_flushed_cache_does_not_look_like_a_slow_prefill_engine() -> None:
+    bed = Bed(fleet=TWO_PREFILL[:1] + TWO_PREFILL[2:])
     bed.whole("q1", session="s", prompt=16_000)  # type: ignore[arg-type]
     before = bed.router.latency[api.Role.PREFILL].ratio()
     bed.read(only(bed.ask("q2", session="s", prompt=16_160), api.Send), kept=0)
     assert bed.router.latency[api.Role.PREFILL].ratio() < 1.5 * before
 
 
-# The library's edges.
+# Input that is empty, stale or invalid.
 
 
-def test_nothing_up_is_held_then_refused_in_time() -> None:
+def test_a_request_with_no_server_up_waits_and_is_refused_in_time() -> None:
     bed = Bed(fleet=())
     assert not of(bed.ask("q1", left=SECOND), api.Refuse)
     assert of(bed.wait(SECOND), api.Refuse) == [api.Refuse("q1", 0)]
 
 
-def test_stale_and_unknown_events_are_passed_over() -> None:
+def test_stale_and_unknown_events_are_ignored() -> None:
     bed = Bed()
     for event in (
         api.FirstToken("x", 0, "r0", 1),
@@ -628,19 +629,19 @@
         ({"kinds": (api.Kind("chef"),)}, "unknown role 'chef'"),  # type: ignore[arg-type]
     ],
 )
-def test_wrong_settings_are_named(change: dict[str, object], words: str) -> None:
+def test_invalid_settings_are_named_in_the_error(change: dict[str, object], words: str) -> None:
     with pytest.raises(ValueError, match=words):
         Router(replace(SETTINGS, **change), 1)  # type: ignore[arg-type]
 
 
-def test_wrong_events_are_named() -> None:
+def test_invalid_events_are_named_in_the_error() -> None:
     with pytest.raises(ValueError, match="unknown kind 9"):
         Bed(fleet=(entry("x", 9),))
     with pytest.raises(ValueError, match="unknown class 3"):
         Bed().ask("q", class_index=3)
 
 
-def test_the_list_is_subscribed_where_it_must_be_asked_for() -> None:
+def test_the_server_list_is_subscribed_to_where_it_comes_on_request() -> None:
     bed = Bed(replace(SETTINGS, list_on_request=True))
     assert len(of(bed.wait(SECOND), api.Subscribe)) == 1
     bed.give(api.ServerList(api.ListKind.FAILED))
@@ -648,7 +649,7 @@
     assert len(of(bed.wait(SECOND), api.Subscribe)) == 1
 
 
-def test_a_reset_keeps_the_table_and_a_refused_connection_empties_it() -> None:
+def test_a_reset_keeps_the_prefix_table_and_a_refused_connection_empties_it() -> None:
     for outcome, left in ((api.Outcome.RESET, 1), (api.Outcome.CONNECT_FAILED, 0)):
         bed = Bed()
         send = only(bed.ask("q1", session="s"), api.Send)
@@ -656,8 +657,8 @@
         assert len(bed.router.servers[send.server].prefix_table.entries) == left
 
 
-def test_a_cold_server_is_sent_the_requests_of_its_share() -> None:
-    """And no others: also a request whose home is elsewhere goes there if its hash falls into the share."""
+def test_a_server_in_slow_start_is_sent_the_requests_of_its_share() -> None:
+    """And no others; a request with another preferred replica goes there too if its hash falls into the share."""
     share = SLOW_START_TARGET_SHARE * SETTINGS.cold_multiple * SETTINGS.cold_share * PRIOR_CARRIED_SHARE / 4
     names = [f"q{n}" for n in range(600)]
     inside = {name for name in names if hash_fraction(name, "r0") < share}
@@ -670,8 +671,8 @@
     assert len(inside) > 2 and sent == inside
 
 
-def test_a_cold_server_gets_each_request_once_where_all_are_cold() -> None:
-    """Repeats of its share would come to it alone, since no other cold server may take them."""
+def test_a_server_in_slow_start_gets_each_request_once_where_all_are_in_slow_start() -> None:
+    """Repeats of its share would come to it alone, since no other server in slow start may take them."""
     started = 100 * SECOND
     fleet = (*(entry(f"r{n}", PREFILL, started=started) for n in range(4)), entry("w0", DECODE))
     tried = 0
@@ -684,7 +685,7 @@
     assert tried > 4
 
 
-def test_while_a_class_is_held_back_first_attempts_go_where_it_was_served() -> None:
+def test_while_a_class_is_rejected_first_attempts_go_where_it_was_served() -> None:
     fleet = (*(entry(f"r{n}", PREFILL) for n in range(9)), entry("w0", DECODE))
     for elapsed, spread in ((1 * MS, True), (300 * MS, False)):
         bed = Bed(fleet=fleet)
