--- a/tests/test_two_customers.py
+++ b/tests/test_two_customers.py
@@ -20,7 +20,7 @@
 from tests.bed import SETTINGS, Bed
 from tests.platform import ask, free_port, platform
 from tests.rig import Client, Rig, chat, raw_settings, rig, wait_for
-from tests.test_choices import jam
+from tests.test_choices import fill_queues
 
 FIRST: dict[str, Any] = {
     "classes": [{"name": "aldo-talk", "first_token_ms": 2_000, "deadline_ms": 4_000, "worth": 9.0}],
@@ -108,7 +108,7 @@
 def test_classes_that_are_worth_nothing_are_served() -> None:
     free = replace(SETTINGS, classes=(replace(SETTINGS.classes[0], worth=0.0),))
     bed = Bed(free)
-    jam(bed)
+    fill_queues(bed)
     bed.ask("q")  # its expected time is looked at
 
 
