--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -47,7 +47,7 @@
 
 
 def test_a_request_that_nobody_may_take_ends_all_the_same() -> None:
-    made = Play(settings(1), [Spec(name="w0", role=Role.WRITER)], 1)
+    made = Play(settings(1), [Spec(name="w0", role=Role.DECODE)], 1)
     (answered,) = made.run([Ask(0, "q", 0, 300)], 8.0)
     assert answered.ended == "refused" and answered.attempts == 0
 
@@ -61,5 +61,5 @@
 
 def test_a_module_that_knows_no_cold_pushes_them_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """The negative control: the judge of the same play sees engines that fall."""
-    monkeypatch.setattr(logic, "SLOW_START_AIM", 8.0)
+    monkeypatch.setattr(logic, "SLOW_START_TARGET_SHARE", 8.0)
     assert one(("all", 24, 3.0, 3))[2] > 0
