--- a/tests/router_fixture.py
+++ b/tests/router_fixture.py
@@ -13,7 +13,7 @@
 CLASS = api.RequestClass("chat", 2 * SECOND, 40 * MS, 80 * MS, 10 * SECOND)
 SETTINGS = api.Settings(
     classes=(CLASS,),
-    kinds=(api.Kind(api.Role.READER, 200_000), api.Kind(api.Role.WRITER, 150_000), api.Kind(api.Role.MIXED)),
+    kinds=(api.Kind(api.Role.PREFILL, 200_000), api.Kind(api.Role.DECODE, 150_000), api.Kind(api.Role.MIXED)),
     routers=2,
     max_attempts=5,
     may_cancel=True,
@@ -96,7 +96,7 @@
         """The read succeeds, by default finding what was promised; the send to the writer that follows."""
         if kept is None:
             request = self.router.requests[send.request]
-            kept = int(request.prompt - request.work)
+            kept = int(request.prompt_tokens - request.prefill_tokens)
         return single(self.end_attempt(send, api.Outcome.READ, attempt, elapsed, kept_tokens=kept), api.Send)
 
     def serve(self, send: api.Send, attempt: int = 1) -> None:
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -7,7 +7,7 @@
 import pytest
 
 from stonetrack import api
-from stonetrack.logic import ASK_WAIT, FRESH, MS
+from stonetrack.logic import FRESH_REPORT_NS, MS, PROBE_WAIT_NS
 from tests.router_fixture import CLASS, DECODE, PREFILL, SETTINGS, RouterFixture, entry, of_type, single
 
 MANY = (*(entry(f"r{n}", PREFILL) for n in range(12)), *(entry(f"w{n}", DECODE) for n in range(4)))
@@ -26,7 +26,7 @@
         for probe in of_type(fixture.arrive(f"warm{n}"), api.Probe):
             sent = of_type(told(fixture, probe.server, 0.0), api.Send)
         fixture.serve(fixture.finish_prefill(sent[0]))
-    fixture.advance(2 * FRESH)
+    fixture.advance(2 * FRESH_REPORT_NS)
     return fixture
 
 
@@ -121,13 +121,13 @@
     others = [probe.server for probe in of_type(late(fixture, pair), api.Probe)]
     for server in others:
         told(fixture, server, 850_000.0)
-    fixture.advance(FRESH - 5 * MS)
+    fixture.advance(FRESH_REPORT_NS - 5 * MS)
     got = fixture.arrive("q2", shared_prefix="b", shared=800)
     answered = 0
     while len(probes := of_type(got, api.Probe)) > answered:
         got = got + fixture.advance(5 * MS) + told(fixture, probes[answered].server, 850_000.0)
         answered += 1
-    got = got + fixture.advance(ASK_WAIT + 50 * MS)
+    got = got + fixture.advance(PROBE_WAIT_NS + 50 * MS)
     assert not of_type(got, api.Send) and len(of_type(got, api.Refuse)) == 1
 
 
@@ -144,7 +144,7 @@
     """The pair of a request whose readers' reports have just grown old, the others' have not."""
     probe = RouterFixture(ASKING, MANY)
     first, second = asked(probe, "q", shared_prefix="b", shared=800)
-    fixture.advance(FRESH - 100 * MS)
+    fixture.advance(FRESH_REPORT_NS - 100 * MS)
     for n in range(12):
         if f"r{n}" not in (first, second):
             told(fixture, f"r{n}", 500.0)
@@ -163,7 +163,7 @@
 def test_what_is_not_answered_is_not_waited_for() -> None:
     fixture = learnt()
     first, _ = asked(fixture, "q")
-    assert not of_type(fixture.advance(ASK_WAIT - MS), api.Send)
+    assert not of_type(fixture.advance(PROBE_WAIT_NS - MS), api.Send)
     assert single(fixture.advance(50 * MS), api.Send).server == first
 
 
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -11,12 +11,12 @@
 import pytest
 
 from stonetrack import api
-from stonetrack.logic import MS, RELEASE_SHARE, SECOND, SWEEP
+from stonetrack.logic import MS, RELEASE_TIME_SHARE, SECOND, SWEEP_INTERVAL_NS
 from tests.router_fixture import FLEET, SETTINGS, RouterFixture, of_type, single
 
 HELD = replace(SETTINGS, release_within=500 * MS, may_hold_place=True)
 UNSAFE = replace(HELD, classes=(replace(HELD.classes[0], effect=api.Effect.UNSAFE),))
-BY_NOW = int(RELEASE_SHARE * HELD.release_within) + SWEEP
+BY_NOW = int(RELEASE_TIME_SHARE * HELD.release_within) + SWEEP_INTERVAL_NS
 
 
 @pytest.mark.parametrize("settings", [HELD, UNSAFE], ids=["safe", "unsafe"])
@@ -26,7 +26,7 @@
     send = fixture.finish_prefill(single(fixture.arrive("q"), api.Send))
     got = fixture.advance(BY_NOW)
     assert len(of_type(got, api.Release)) == 1 and not of_type(got, api.Cancel)
-    assert not any(server.states for server in fixture.router.servers.values())
+    assert not any(server.held_states for server in fixture.router.servers.values())
     fixture.serve(send)
     assert not fixture.router.requests and len(of_type(fixture.actions, api.Release)) == 1
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -29,17 +29,17 @@
     fixture = RouterFixture()
     fixture.run_request("q0")
     out = single(fixture.arrive("q1", session="s-q0", prompt=3_200), api.Send)
-    known = {name: dict(s.table.entries) for name, s in fixture.router.servers.items()}
+    known = {name: dict(s.prefix_table.entries) for name, s in fixture.router.servers.items()}
     quick = replace(CLASS, first_token_aim=100 * MS, deadline=SECOND)
     fixture.router.adopt(replace(SETTINGS, classes=(quick, replace(CLASS, name="second")), max_attempts=2))
-    assert {name: dict(s.table.entries) for name, s in fixture.router.servers.items()} == known
-    assert fixture.router.latency[Role.READER].count == 1 and fixture.router.requests["q1"].cls is CLASS
+    assert {name: dict(s.prefix_table.entries) for name, s in fixture.router.servers.items()} == known
+    assert fixture.router.latency[Role.PREFILL].count == 1 and fixture.router.requests["q1"].class_settings is CLASS
     fixture.finish_prefill(out)  # what was under way goes on, by the class it came with
-    assert fixture.router.requests["q1"].aim() > SECOND
+    assert fixture.router.requests["q1"].capped_target() > SECOND
     fixture.arrive("q2", class_index=1, prompt=160)
-    assert fixture.router.requests["q2"].cls.name == "second"
+    assert fixture.router.requests["q2"].class_settings.name == "second"
     fixture.arrive("q3")
-    assert fixture.router.requests["q3"].cls is quick
+    assert fixture.router.requests["q3"].class_settings is quick
 
 
 @pytest.mark.parametrize(
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -9,7 +9,7 @@
 
 from benchmarks.ramps import NODES, bound, drawn, play
 from stonetrack import api, logic
-from stonetrack.logic import MS, SECOND, spread_hash
+from stonetrack.logic import MS, SECOND, hash_fraction
 from tests.router_fixture import DECODE, PREFILL, SETTINGS, RouterFixture, entry, of_type, single
 
 RAMPS = 50  # of each number of nodes; benchmarks/ramps.py plays a thousand
@@ -27,9 +27,9 @@
 
 def test_ramps_pass_their_budget_where_a_node_takes_every_arrival_for_carried(monkeypatch: pytest.MonkeyPatch) -> None:
     """The negative control: the share of the arrivals that was landed before, at three times capacity."""
-    monkeypatch.setattr(logic, "SLOW_START_AIM", 0.5)
-    monkeypatch.setattr(logic, "LOAD_UNKNOWN", 1.0)
-    monkeypatch.setattr(logic.Router, "_flow", lambda self, what: 0.0)
+    monkeypatch.setattr(logic, "SLOW_START_TARGET_SHARE", 0.5)
+    monkeypatch.setattr(logic, "PRIOR_CARRIED_SHARE", 1.0)
+    monkeypatch.setattr(logic.Router, "_recent_flow", lambda self, what: 0.0)
     draw = random.Random("control")
     ramps = [replace(drawn(draw, 10), load_before=3.0, load=3.0) for _ in range(RAMPS)]
     assert any(play(ramp, draw) > bound(ramp.budget) for ramp in ramps)
@@ -45,7 +45,7 @@
         send = single(fixture.arrive(name), api.Send)
         cold = fixture.router.servers["w3"]
         fixture.handle(api.ServerList(api.ListKind.CHANGES, 2, (entry("w3", DECODE, started=fixture.now),)))
-        asked_alone += bool(fixture.router._usable([cold], fixture.router.requests[name]))
+        asked_alone += bool(fixture.router._eligible([cold], fixture.router.requests[name]))
         went = single(fixture.end_attempt(send, api.Outcome.READ, 0, 1 * MS), api.Send)
         sent += went.server == "w3"
         fixture.handle(api.ServerList(api.ListKind.CHANGES, 3, (entry("w3", DECODE),)))
@@ -57,9 +57,9 @@
 def test_a_lighter_engine_gets_less() -> None:
     light = [entry("r0", PREFILL, started=100 * SECOND, weight=0.25), *(entry(f"r{n}", PREFILL) for n in range(1, 4))]
     fixture = RouterFixture(fleet=(*light, entry("w0", DECODE)))
-    shares = fixture.router._slow_start_share(api.Role.READER) * fixture.router.servers["r0"].weight
+    shares = fixture.router._slow_start_share(api.Role.PREFILL) * fixture.router.servers["r0"].weight
     even = RouterFixture(fleet=(entry("r0", PREFILL, started=100 * SECOND), *light[1:], entry("w0", DECODE)))
-    assert shares == pytest.approx(even.router._slow_start_share(api.Role.READER) * 0.25 * 4 / 3.25)
+    assert shares == pytest.approx(even.router._slow_start_share(api.Role.PREFILL) * 0.25 * 4 / 3.25)
 
 
 def test_no_place_and_no_probe_goes_to_an_engine_in_slow_start() -> None:
@@ -118,13 +118,13 @@
     fleet = (*(entry(f"r{n}", PREFILL, started=100 * SECOND) for n in range(4)), entry("w0", DECODE))
     names = [f"q{n}" for n in range(400)]
     sent = [name for name in names if of_type(RouterFixture(fleet=fleet).arrive(name), api.Send)]
-    share = logic.SLOW_START_AIM * SETTINGS.cold_multiple * SETTINGS.cold_share * logic.LOAD_UNKNOWN / 4
-    assert sent == [name for name in names if any(spread_hash(name, f"r{n}") < share for n in range(4))] and sent
+    share = logic.SLOW_START_TARGET_SHARE * SETTINGS.cold_multiple * SETTINGS.cold_share * logic.PRIOR_CARRIED_SHARE / 4
+    assert sent == [name for name in names if any(hash_fraction(name, f"r{n}") < share for n in range(4))] and sent
 
 
 def test_a_probe_that_this_machine_could_not_make_leaves_no_server_out() -> None:
     fixture = RouterFixture()
     fixture.handle(api.ProbeEnded("r0", api.Outcome.NOT_SENT, 1 * MS))
-    assert not fixture.router.servers["r0"].paused
+    assert not fixture.router.servers["r0"].ejections
     fixture.handle(api.ProbeEnded("r0", api.Outcome.TIMED_OUT, 1 * MS))
-    assert fixture.router.servers["r0"].paused
+    assert fixture.router.servers["r0"].ejections
--- a/tests/test_two_customers.py
+++ b/tests/test_two_customers.py
@@ -20,7 +20,7 @@
 from tests.harness import Client, Harness, chat, harness, raw_settings, wait_for
 from tests.platform import free_port, platform, round_trip
 from tests.router_fixture import SETTINGS, RouterFixture
-from tests.test_choices import jam
+from tests.test_choices import fill_queues
 
 FIRST: dict[str, Any] = {
     "classes": [{"name": "aldo-talk", "first_token_ms": 2_000, "deadline_ms": 4_000, "worth": 9.0}],
@@ -59,8 +59,10 @@
         assert isinstance(router, Router)
         assert [c.name for c in router.settings.classes] == ["second-talk"]
         assert [t.name for t in router.settings.tenants] == ["second-house"] and router.settings.max_attempts == 2
-        assert not any(stat.count for stat in router.latency.values()) and not router.held_back
-        assert wait_for(lambda: all(not s.took and not s.table.entries for s in router.servers.values()))
+        assert not any(stat.count for stat in router.latency.values()) and not router.class_rejected_at
+        assert wait_for(
+            lambda: all(not s.class_success_at and not s.prefix_table.entries for s in router.servers.values())
+        )
         served(node)
         assert "second-talk" in shown(node) and "aldo" not in shown(node)
         client = Client(node.port)
@@ -106,7 +108,7 @@
 def test_classes_that_are_worth_nothing_are_served() -> None:
     free = replace(SETTINGS, classes=(replace(SETTINGS.classes[0], worth=0.0),))
     fixture = RouterFixture(free)
-    jam(fixture)
+    fill_queues(fixture)
     fixture.arrive("q")  # its expected time is looked at
 
 
