--- a/stonetrack/control/service.py
+++ b/stonetrack/control/service.py
@@ -38,7 +38,7 @@
 from stonetrack.frontend.host import Host, plain_response
 from stonetrack.frontend.long_poll import LongPoll
 from stonetrack.frontend.service_errors import error_body, rejection_response
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 
 LOOK = 0.2  # seconds from one look at all nodes to the next, at the least
 LOOKED_AT = 5_000.0  # nodes a second: a look at so many takes 0.1 s
--- a/stonetrack/discovery/service.py
+++ b/stonetrack/discovery/service.py
@@ -41,7 +41,7 @@
 from stonetrack.frontend.host import Host, plain_response
 from stonetrack.frontend.long_poll import LongPoll
 from stonetrack.frontend.service_errors import error_body, rejection_response
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 
 MS, SECOND = 1_000_000, 1_000_000_000
 PATH = "/engines"
--- a/stonetrack/edge/exchange.py
+++ b/stonetrack/edge/exchange.py
@@ -30,7 +30,7 @@
 import msgspec
 
 from stonetrack.api import LoadReport, Outcome, Role
-from stonetrack.node.ports import AttemptEvent, Began, Over, Passed
+from stonetrack.node.ports import AnswerStarted, AttemptEvent, AttemptResult, RawEvents
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
 
@@ -62,7 +62,7 @@
 
 
 class Exchange:
-    """Reads one answer; see the table above.  Feed it until it gives an ``Over``."""
+    """Reads one answer; see the table above.  Feed it until it gives an ``AttemptResult``."""
 
     __slots__ = ("_ahead", "_body", "_first", "_head", "_over", "_read_report", "_reader", "_role", "_tail",
                  "_unanswered", "began", "reusable", "seen")  # fmt: skip
@@ -129,7 +129,7 @@
         if self._over:
             return
         self._over = True
-        events.append(Over(outcome, report=self._report(), **more))
+        events.append(AttemptResult(outcome, report=self._report(), **more))
 
     def _report(self) -> LoadReport | None:
         """The stream's last comment, or else the head's field; a report that can't be read is none."""
@@ -148,11 +148,11 @@
                 return
             self._head = event
             self.reusable = event.keep_alive
-            self._first = event.status == 200 and self._role is not Role.READER
+            self._first = event.status == 200 and self._role is not Role.PREFILL
         elif isinstance(event, http1.Data):
             if self.began:
                 self._keep_end(event.data)
-                events.append(Passed(event.data))
+                events.append(RawEvents(event.data))
             elif self._first:
                 self._begin(event.data, events)
             elif len(self._body) < _BODY:
@@ -177,7 +177,7 @@
         self._body.clear()
         self.began = True
         self._keep_end(whole)
-        events += [Began(), Passed(whole)]
+        events += [AnswerStarted(), RawEvents(whole)]
 
     def _whole(self, head: http1.ResponseHead, events: list[AttemptEvent]) -> None:
         """The message is complete."""
@@ -185,7 +185,7 @@
         if self.began:
             found = _CACHED.findall(self._tail)
             self._end(Outcome.SERVED, events, kept_tokens=int(found[-1]) if found else 0)
-        elif status == 202 and self._role is not Role.WRITER:
+        elif status == 202 and self._role is not Role.DECODE:
             self._end(Outcome.READ, events, kept_tokens=self._kept(), state=True)
         elif status == 410 and unprocessed:
             self._end(Outcome.FULL, events, why="the state to be fetched is gone", state_missing=True)
--- a/tests/test_cases.py
+++ b/tests/test_cases.py
@@ -17,7 +17,7 @@
 from stonetrack.frontend.classify import ByteEstimator, describe_prompt, hash_key, session_of
 from stonetrack.logic import Router
 from stonetrack.settings import parse
-from tests.rig import Client, chat, raw_settings, rig
+from tests.harness import Client, chat, harness, raw_settings
 from tests.test_capture import HEADER, calls, command, files, write
 from tests.test_replaying import API, LOGIC
 
@@ -42,9 +42,9 @@
 def test_a_module_that_has_the_fault_again_is_caught_by_its_case() -> None:
     """Each fix taken out of the module as it is now: its case says that the fault is back."""
     taken_out = {
-        "moving-queue": ("if moves or not (", "if not ("),
-        "cold-unused": ("return [s for s in group if s.cold_until > self.now] or group", "return group"),
-        "late-answers": ("request.expected > bound and", "False and"),
+        "moving-queue": ("if progresses or not (", "if not ("),
+        "cold-unused": ("return [s for s in eligible if s.slow_start_until > self.now] or eligible", "return eligible"),
+        "late-answers": ("request.expected_share > admitted and", "False and"),
     }
     for name, (line, without) in taken_out.items():
         assert line in LOGIC
@@ -175,7 +175,7 @@
 
 def test_a_live_capture_holds_no_text_no_session_and_no_tenants_name(tmp_path: Path) -> None:
     settings = {"capture": {"dir": str(tmp_path), "flush_ms": 10}, "tenants": [{"name": "Suva Charging"}]}
-    with rig(1, 1, settings=settings) as node:
+    with harness(1, 1, settings=settings) as node:
         client = Client(node.port)
         body = chat("Where is the charger in Nadi?", prompt_cache_key="driver-77", max_tokens=3)
         body["messages"].insert(0, {"role": "system", "content": "You know Fiji."})
