--- a/stonetrack/frontend/connection.py
+++ b/stonetrack/frontend/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its bytes to whole requests, and answers back without blocking."""
+"""One client connection: parses its bytes into whole requests and writes responses without blocking."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from stonetrack.wire import http1
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-_DISCARD = 16  # reads of what a client still sends behind its last answer
-_READ = 65_536  # bytes
+_MAX_DISCARD_READS = 16  # reads of input that a client sends after its last response
+_READ_BYTES = 65_536
 
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One whole request; ``arrived`` is the monotonic time in nanoseconds at which its head was there."""
+    """One whole request; ``arrived`` is the monotonic time in nanoseconds at which its head was complete."""
 
     head: http1.RequestHead
     body: bytes
@@ -28,26 +28,26 @@
 
 @dataclass(slots=True)
 class HostState:
-    """Where the host stands, for its connections."""
+    """The host's state, shared with its connections."""
 
-    leaving: bool = False  # accepts still, and says in each answer that the connection closes
+    closing_after_responses: bool = False  # still accepts, and each response carries ``Connection: close``
     draining: bool = False
 
 
 class Connection:
-    """One client's connection."""
+    """One client connection."""
 
     __slots__ = (
         "_body",
         "_head",
-        "_head_at",
-        "answering",
-        "begun_at",
+        "_head_read_at",
+        "response_started",
+        "request_started_at",
         "closed",
         "corked",
-        "counted",
-        "held",
-        "lingers_until",
+        "counted_body_bytes",
+        "partial_body_bytes",
+        "linger_until",
         "parked_at",
         "pending",
         "reader",
@@ -59,18 +59,18 @@
     def __init__(self, sock: socket.socket, limits: http1.Limits, state: HostState) -> None:
         self.sock = sock
         self.state = state
-        self.served = 0  # requests taken
-        self.answering = False  # a byte of an answer to the last request taken was written
+        self.served = 0  # whole requests read
+        self.response_started = False  # a byte of the response to the last request was written
         self.corked = False
-        self.lingers_until = 0  # answered for the last time; what still comes is thrown away until then
+        self.linger_until = 0  # monotonic ns: after the last response, input is discarded until then
         self.reader = http1.MessageReader(http1.Side.REQUESTS, limits)
-        self.pending = bytearray()  # written by us, not yet taken by the socket
-        self.parked_at = self.begun_at = 0  # monotonic ns: since idle; since the first byte of a request
+        self.pending = bytearray()  # written, not yet accepted by the socket
+        self.parked_at = self.request_started_at = 0  # monotonic ns: idle since; first byte of a request
         self.closed = False
-        self.held = 0  # bytes of a body not yet whole
-        self.counted = 0  # of these, those that the host has counted
+        self.partial_body_bytes = 0  # of an incomplete body
+        self.counted_body_bytes = 0  # those included in the host's total
         self._head: http1.RequestHead | None = None
-        self._head_at = 0
+        self._head_read_at = 0
         self._body: list[bytes] = []
 
     def fileno(self) -> int:
@@ -78,49 +78,49 @@
         return -1 if self.closed else self.sock.fileno()
 
     def feed(self, data: bytes) -> HttpRequest | None:
-        """Feed what came; a whole request if it completes one.  Raises ProtocolError."""
+        """Feed received bytes; return the request that they complete, if any.  Raises ProtocolError."""
         now = time.monotonic_ns()
-        if data and not self.begun_at:
-            self.begun_at = now
+        if data and not self.request_started_at:
+            self.request_started_at = now
         for event in self.reader.feed(data, messages=1):
             if isinstance(event, http1.RequestHead):
-                self._head, self._head_at, self._body, self.held = event, now, [], 0
+                self._head, self._head_read_at, self._body, self.partial_body_bytes = event, now, [], 0
                 if event.headers.get("expect").lower() == "100-continue" and event.length != 0:
                     self.write(_CONTINUE)
             elif isinstance(event, http1.Data):
                 self._body.append(event.data)
-                self.held += len(event.data)
+                self.partial_body_bytes += len(event.data)
             elif isinstance(event, http1.End) and self._head is not None:
-                request = HttpRequest(self._head, b"".join(self._body), self._head_at)
-                self._head, self._body, self.begun_at, self.held = None, [], 0, 0
+                request = HttpRequest(self._head, b"".join(self._body), self._head_read_at)
+                self._head, self._body, self.request_started_at, self.partial_body_bytes = None, [], 0, 0
                 self.served += 1
-                self.answering = False
+                self.response_started = False
                 return request
-        if not self.reader.idle and not self.begun_at:
-            self.begun_at = now  # bytes that came with the request before
+        if not self.reader.idle and not self.request_started_at:
+            self.request_started_at = now  # bytes received together with the previous request
         return None
 
     @property
     def closes_after_response(self) -> bool:
-        """Whether the answer under way is to be the connection's last: the instance is about to stop, and nothing that
-        was read waits behind the request."""
-        return (self.state.leaving or self.state.draining) and self.reader.idle
+        """Whether the connection closes after the current response: the instance is about to stop, and no further input
+        was read behind the request."""
+        return (self.state.closing_after_responses or self.state.draining) and self.reader.idle
 
     @property
-    def in_body(self) -> bool:
-        """Whether a head has come and its body not yet."""
+    def awaits_body(self) -> bool:
+        """Whether a head was read and its body is incomplete."""
         return self._head is not None
 
-    # Writing.  Nothing blocks but :meth:`drain`.
+    # Writing; only :meth:`drain` blocks.
 
     def write(self, data: bytes) -> None:
-        """Send what the socket takes, keep the rest as pending.  Raises ClientDisconnected.
+        """Send what the socket accepts and keep the rest as pending.  Raises ClientDisconnected.
 
-        While ``corked``, all is kept: several events that came together leave in one call.
+        While ``corked``, all data stays pending, so that several events received together are sent in one call.
         """
         if self.closed:
             raise ClientDisconnected("closed")
-        self.answering = True
+        self.response_started = True
         if not self.pending and not self.corked:
             sent = self._send(data)
             if sent == len(data):
@@ -129,7 +129,7 @@
         self.pending += data
 
     def _send(self, data: bytes | bytearray) -> int:
-        """Bytes that the socket took; none where it has no room, or this machine none for the moment."""
+        """Return the bytes sent; 0 if the socket's buffer is full or local resources are exhausted for the moment."""
         try:
             return sockets.send(self.sock, data)
         except (BlockingIOError, sockets.ResourceExhausted):
@@ -138,7 +138,7 @@
             raise ClientDisconnected(str(error)) from None
 
     def flush(self) -> int:
-        """Send of the pending what the socket takes; bytes left.  Raises ClientDisconnected."""
+        """Send pending data as far as the socket accepts it; return the bytes left.  Raises ClientDisconnected."""
         if self.closed:
             raise ClientDisconnected("closed")
         while self.pending:
@@ -149,7 +149,7 @@
         return len(self.pending)
 
     def drain(self, stall: float) -> None:
-        """Wait until all pending is taken, for so many seconds without progress at most.  Raises ClientDisconnected."""
+        """Wait until all pending data is sent.  Raises ClientDisconnected after ``stall`` seconds without progress."""
         poller = select.poll()
         poller.register(self.sock.fileno(), select.POLLOUT)
         progress, left = time.monotonic(), len(self.pending)
@@ -163,8 +163,8 @@
     # Closing.
 
     def close(self) -> None:
-        """Close between two requests, without reading: a request that crosses the close has not been read, so its
-        client sends it again elsewhere."""
+        """Close between two requests, without reading: a request that crosses the close stays unread, so its client
+        retries it elsewhere."""
         if not self.closed:
             self.closed = True
             with contextlib.suppress(OSError):
@@ -172,21 +172,21 @@
             sockets.close(self.sock)
 
     def close_answered(self) -> None:
-        """Close behind an answer that said that it is the last.
+        """Close after a response with ``Connection: close``.
 
-        Bytes that were never read would turn the close into a reset and take the answer along.
+        Input left unread would turn the close into a reset and lose the response, so it is read first.
         """
         if not self.closed:
             self.closed = True
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
-                for _ in range(_DISCARD):
-                    if not sockets.receive(self.sock, _READ):
+                for _ in range(_MAX_DISCARD_READS):
+                    if not sockets.receive(self.sock, _READ_BYTES):
                         break
             sockets.close(self.sock)
 
     def reset(self) -> None:
-        """Close and drop what is pending."""
+        """Reset the connection and drop pending data."""
         if not self.closed:
             self.closed = True
             sockets.reset(self.sock)
