--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -481,7 +481,7 @@
             "request",
             instance=self.name,
             front=record.frontend,
-            request=record.request,
+            request=record.request_id,
             cls=record.class_name,
             tenant=record.tenant_name,
             status=record.status,
--- a/stonetrack/frontend/auth.py
+++ b/stonetrack/frontend/auth.py
@@ -1,4 +1,4 @@
-"""Which tenant a key belongs to.  Settings hold hashes only; every hash is compared, each in constant time."""
+"""Maps API keys to tenants.  Settings hold only hashes; a key is compared with every hash, each in constant time."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 def key_hash(key: str) -> str:
-    """The form in which settings hold a key."""
+    """Return a key's hash as stored in settings."""
     return "sha256:" + hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 def bearer(header: str) -> str:
-    """The key of an Authorization header, empty where there is none."""
+    """Return the key of an Authorization header, empty if it has none (RFC 6750)."""
     scheme, _, key = header.strip().partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
 def tenant_of(key: str, tenants: Sequence[Tenant], any_key: bool) -> int | None:
-    """The tenant's index, or None for a key that is not known; ``any_key`` takes those as the first tenant's."""
+    """Return the index of the key's tenant, or None for an unknown key; with ``any_key`` these map to tenant 0."""
     found: int | None = None
     if key:
-        given = key_hash(key).encode()
+        key_digest = key_hash(key).encode()
         for index, tenant in enumerate(tenants):
-            for known in tenant.key_hashes:
-                if hmac.compare_digest(given, known.encode()):
+            for tenant_digest in tenant.key_hashes:
+                if hmac.compare_digest(key_digest, tenant_digest.encode()):
                     found = index
     return 0 if found is None and any_key else found
--- a/stonetrack/frontend/chat.py
+++ b/stonetrack/frontend/chat.py
@@ -1,7 +1,7 @@
 """The chat API: ``POST /v1/chat/completions`` and ``GET /v1/models``, by the public specification.
 
-Known fields are checked for type and range, and an error names the field; fields not known pass through to the
-engine as they are.  ``kv_transfer_params`` is the node's own and refused.
+Known fields are checked for type and range, and an error names the field; unknown fields are passed to the engine
+unchanged.  ``kv_transfer_params`` is reserved for the node and rejected.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 from stonetrack.frontend import json_limits
 from stonetrack.frontend.admission import Admission
-from stonetrack.frontend.answers import Chunks, Whole
+from stonetrack.frontend.answers import ChunkEncoder, CompletionBuilder
 from stonetrack.frontend.connection import Connection, HttpRequest
 from stonetrack.frontend.errors import ApiError
 from stonetrack.frontend.host import plain_response
-from stonetrack.frontend.sinks import EventSink, HttpSink, WholeSink
+from stonetrack.frontend.sinks import BufferedSink, EventSink, HttpSink
 from stonetrack.node import ports
 from stonetrack.node.request_runner import Waker
 
-RESERVED = "kv_transfer_params"
+RESERVED_FIELD = "kv_transfer_params"
 _encode = msgspec.json.Encoder().encode
 
 
 class Message(msgspec.Struct):
-    """One message; what its content holds is the engine's affair."""
+    """One message; the parts of its content are validated by the engine."""
 
     role: Annotated[str, Meta(pattern="^(developer|system|user|assistant|tool|function)$")]
     content: str | list[dict[str, Any]] | None = None
@@ -41,7 +41,7 @@
 
 
 class ChatRequest(msgspec.Struct):
-    """The fields that are checked; null counts as absent."""
+    """The fields that are checked; null is treated as absent."""
 
     model: str
     messages: Annotated[list[Message], Meta(min_length=1, max_length=10_000)]
@@ -66,8 +66,8 @@
     parallel_tool_calls: bool | None = None
 
 
-def decode(body: bytes, depth: int, values: int) -> dict[str, Any]:
-    """The body as an object.  Raises ApiError."""
+def decode_body(body: bytes, depth: int, values: int) -> dict[str, Any]:
+    """Decode the body as a JSON object.  Raises ApiError."""
     try:
         json_limits.check(body, depth, values)
         raw = msgspec.json.decode(body)
@@ -81,63 +81,66 @@
 
 
 def parse(raw: dict[str, Any]) -> ChatRequest:
-    """The checked fields.  Raises ApiError naming the field."""
-    if RESERVED in raw:
+    """Check the known fields.  Raises ApiError naming the field."""
+    if RESERVED_FIELD in raw:
         raise ApiError(
-            400, f"{RESERVED} is set by the service and can't be given", param=RESERVED, code="reserved_field"
+            400,
+            f"{RESERVED_FIELD} is set by the service and can't be given",
+            param=RESERVED_FIELD,
+            code="reserved_field",
         )
     try:
         return msgspec.convert(raw, ChatRequest)
     except msgspec.ValidationError as error:
         message, _, path = str(error).partition(" - at `$")
-        param = path.rstrip("`").lstrip(".") or _missing(message)
+        param = path.rstrip("`").lstrip(".") or _missing_field(message)
         raise ApiError(400, f"{param or 'body'}: {message}", param=param or None, code="invalid_value") from None
 
 
-def _missing(message: str) -> str:
+def _missing_field(message: str) -> str:
     return message.rpartition("field `")[2].rstrip("`") if "missing required field" in message else ""
 
 
 def new_request_id(prefix: str) -> str:
-    """A fresh request id."""
+    """Return a random request id."""
     return prefix + os.urandom(12).hex()
 
 
-class ChatStream(EventSink):
-    """A streamed completion."""
+class ChatStreamSink(EventSink):
+    """Streams a chat completion."""
 
-    chunks: Chunks
+    encoder: ChunkEncoder
 
-    def send_part(self, piece: ports.Choices) -> None:
-        """See ``ports.Sink``."""
-        if data := self.chunks.chunk(piece):
-            self.event(data)
+    def send_part(self, part: ports.Choices) -> None:
+        """Implement ``ports.Sink``."""
+        if data := self.encoder.encode(part):
+            self.send_events(data)
 
     def complete(self) -> None:
-        """See ``HttpSink``."""
-        self.usage = self.chunks.usage
-        self.event(self.chunks.last(), b"[DONE]", last=True)
+        """Implement ``HttpSink``."""
+        self.usage = self.encoder.usage
+        self.send_events(self.encoder.usage_chunk(), b"[DONE]", last=True)
 
 
-class ChatWhole(WholeSink):
-    """A completion sent whole."""
+class ChatBufferedSink(BufferedSink):
+    """Sends a chat completion as one response."""
 
-    whole: Whole
+    builder: CompletionBuilder
 
-    def send_part(self, piece: ports.Choices) -> None:
-        """See ``ports.Sink``."""
-        self.whole.add(piece)
-        if self.whole.size > self.most:
-            raise ports.ClientDisconnected(f"an answer over {self.most} bytes")
+    def send_part(self, part: ports.Choices) -> None:
+        """Implement ``ports.Sink``."""
+        self.builder.add(part)
+        if self.builder.size > self.max_bytes:
+            raise ports.ClientDisconnected(f"an answer over {self.max_bytes} bytes")
 
     def complete(self) -> None:
-        """See ``HttpSink``."""
-        self.usage = self.whole.usage
-        self.respond(200, _encode(self.whole.completion()))
+        """Implement ``HttpSink``."""
+        self.usage = self.builder.usage
+        self.respond(200, _encode(self.builder.completion()))
 
 
-class Chat:
-    """The chat front."""
+class ChatFrontend:
+    """The frontend of the chat API."""
 
     name = "chat"
 
@@ -146,30 +149,32 @@
         self.service = admission.service
 
     def completions(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
-        """``POST /v1/chat/completions``.  Raises ApiError."""
+        """Serve ``POST /v1/chat/completions``.  Raises ApiError."""
         arrived, limits = request.arrived, self.service.settings.limits
         tenant = self.admission.tenant(request.head.headers)
-        raw = decode(request.body, limits.json_depth, limits.json_values)
+        raw = decode_body(request.body, limits.json_depth, limits.json_values)
         parsed = parse(raw)
         raw["model"] = self.admission.engine_model(parsed.model)
         request_id = new_request_id("chatcmpl-")
-        ask = self.admission.ask(request_id, request, tenant, parsed, raw, not parsed.stream)
-        headers, flags = self.admission.headers(request_id), self.admission.flags(ask)
+        inference_request = self.admission.inference_request(
+            request_id, request, tenant, parsed, raw, not parsed.stream
+        )
+        headers, error_flags = self.admission.headers(request_id), self.admission.error_flags(inference_request)
         created = self.service.clock() // 1_000_000_000
         sink: HttpSink
         if parsed.stream:
-            usage = bool(parsed.stream_options and parsed.stream_options.include_usage)
-            stream = ChatStream(connection, request, headers, *flags)
-            stream.chunks = Chunks(request_id, parsed.model, created, usage)
+            include_usage = bool(parsed.stream_options and parsed.stream_options.include_usage)
+            stream = ChatStreamSink(connection, request, headers, *error_flags)
+            stream.encoder = ChunkEncoder(request_id, parsed.model, created, include_usage)
             sink = stream
         else:
-            whole = ChatWhole(connection, request, headers, *flags)
-            whole.whole = Whole(request_id, parsed.model, created)
-            sink = whole
-        return self.admission.run(self.name, ask, sink, waker, arrived)
+            buffered = ChatBufferedSink(connection, request, headers, *error_flags)
+            buffered.builder = CompletionBuilder(request_id, parsed.model, created)
+            sink = buffered
+        return self.admission.serve(self.name, inference_request, sink, waker, arrived)
 
     def models(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
-        """``GET /v1/models`` and ``GET /v1/models/NAME``.  Raises ApiError."""
+        """Serve ``GET /v1/models`` and ``GET /v1/models/NAME``.  Raises ApiError."""
         self.admission.tenant(request.head.headers)
         listed = [
             {"id": m.name, "object": "model", "created": m.created, "owned_by": m.owned_by}
--- a/stonetrack/frontend/classify.py
+++ b/stonetrack/frontend/classify.py
@@ -1,6 +1,6 @@
-"""What a request is for the router: class, session, shared beginning, length, time left.  No I/O.
+"""Derives the router's view of a request, without I/O: class, session, shared prefix, prompt length, time left.
 
-Prompt length is an estimate behind :class:`Estimator`, until a tokeniser takes its place.
+Prompt lengths are estimates of an :class:`TokenEstimator`; a tokenizer can implement that protocol.
 """
 
 from __future__ import annotations
@@ -15,94 +15,94 @@
 from stonetrack.settings.schema import Node, Rule
 from stonetrack.wire.http1 import Headers
 
-MS = 1_000_000
-LEADING = ("system", "developer")
+MS = 1_000_000  # nanoseconds
+PREFIX_ROLES = ("system", "developer")
 SESSION_HEADER, TIME_HEADER, KEY_HEADER = "x-session-id", "x-time-left-ms", "idempotency-key"
 
 
-class Estimator(Protocol):
-    """Tells a text's length in tokens."""
+class TokenEstimator(Protocol):
+    """Estimates the length of a text in tokens."""
 
     def count(self, text: str) -> int:
-        """Tokens, at least 0."""
+        """Return the number of tokens, at least 0."""
 
 
 class ByteEstimator:
-    """A token for each so many bytes of UTF-8: about 4 in English prose, fewer in code and other scripts."""
+    """Estimates by bytes of UTF-8 per token: about 4 in English prose, fewer in code and other scripts."""
 
     def __init__(self, bytes_per_token: float = 4.0) -> None:
         self.bytes_per_token = bytes_per_token
 
     def count(self, text: str) -> int:
-        """See :class:`Estimator`."""
+        """Implement :class:`TokenEstimator`."""
         return int(len(text.encode("utf-8", "surrogatepass")) / self.bytes_per_token) + 1 if text else 0
 
 
-PER_MESSAGE = 4  # tokens of a chat template around each message
-PER_PART = 512  # tokens taken for a part that is no text (an image, say)
+TOKENS_PER_MESSAGE = 4  # added by a chat template
+TOKENS_PER_NON_TEXT_PART = 512  # assumed, e.g. for an image
 
 
 @dataclass(frozen=True, slots=True)
 class PromptShape:
-    """A prompt as the router sees it, lengths in tokens."""
+    """A prompt's length and shared prefix, lengths in tokens; ``shared_prefix`` is a keyed hash."""
 
     prompt_tokens: int
     shared_prefix: str | None
     shared_tokens: int
 
 
-def _content(content: object, estimator: Estimator) -> int:
+def _content_tokens(content: object, estimator: TokenEstimator) -> int:
     if isinstance(content, str):
         return estimator.count(content)
     total = 0
     for part in content if isinstance(content, list) else ():
         text = part.get("text") if isinstance(part, dict) else part
-        total += estimator.count(text) if isinstance(text, str) else PER_PART
+        total += estimator.count(text) if isinstance(text, str) else TOKENS_PER_NON_TEXT_PART
     return total
 
 
 def hash_key(settings: Node) -> bytes:
-    """The key of hashes: the settings' own, or one made of models and tenants' key hashes, so that all nodes with
-    the same settings agree on it."""
-    told = msgspec.json.encode([settings.hash_key, settings.models, [t.key_hashes for t in settings.tenants]])
-    return hashlib.blake2b(settings.hash_key.encode() or told, digest_size=32).digest()
+    """Return the key of the hashes: that of the settings, or one derived from models and tenants' key hashes, so that
+    all nodes with the same settings use the same key."""
+    basis = msgspec.json.encode([settings.hash_key, settings.models, [t.key_hashes for t in settings.tenants]])
+    return hashlib.blake2b(settings.hash_key.encode() or basis, digest_size=32).digest()
 
 
 def describe_prompt(
-    messages: Sequence[dict[str, Any]], tools: object, model: str, estimator: Estimator, key: bytes = b""
+    messages: Sequence[dict[str, Any]], tools: object, model: str, estimator: TokenEstimator, key: bytes = b""
 ) -> PromptShape:
-    """Length and shared beginning of a chat (leading system and developer messages, and tools), as a keyed hash."""
+    """Return a chat's length and shared prefix (tools, and leading system and developer messages)."""
     digest = hashlib.blake2b(model.encode("utf-8", "surrogatepass"), key=key, digest_size=16)
     encode = msgspec.json.encode
     tool_text = encode(tools) if tools else b""
-    shared = len(tool_text) // 4
+    shared_tokens = len(tool_text) // 4
     digest.update(tool_text)
-    total, leading, any_leading = shared, True, bool(tools)
+    prompt_tokens, in_prefix, has_prefix = shared_tokens, True, bool(tools)
     for message in messages:
-        tokens = PER_MESSAGE + _content(message.get("content"), estimator)
+        tokens = TOKENS_PER_MESSAGE + _content_tokens(message.get("content"), estimator)
         if calls := message.get("tool_calls"):
             tokens += len(encode(calls)) // 4
-        leading = leading and message.get("role") in LEADING
-        if leading:
+        in_prefix = in_prefix and message.get("role") in PREFIX_ROLES
+        if in_prefix:
             digest.update(encode([message.get("role"), message.get("content")]))
-            shared += tokens
-            any_leading = True
-        total += tokens
-    if not any_leading:
-        return PromptShape(total, None, 0)
-    return PromptShape(total, digest.hexdigest(), shared)
+            shared_tokens += tokens
+            has_prefix = True
+        prompt_tokens += tokens
+    if not has_prefix:
+        return PromptShape(prompt_tokens, None, 0)
+    return PromptShape(prompt_tokens, digest.hexdigest(), shared_tokens)
 
 
 def class_of(settings: Node, model: str, headers: Headers, prompt_tokens: int) -> int:
-    """The class that the settings' rules give; the first class where none holds."""
+    """Return the index of the class of the first matching rule, 0 if no rule matches."""
     names = [c.name for c in settings.classes]
     for rule in settings.rules:
-        if _holds(rule, model, headers, prompt_tokens):
+        if _matches(rule, model, headers, prompt_tokens):
             return names.index(rule.to)
     return 0
 
 
-def _holds(rule: Rule, model: str, headers: Headers, prompt_tokens: int) -> bool:
+def _matches(rule: Rule, model: str, headers: Headers, prompt_tokens: int) -> bool:
     if rule.model and rule.model != model:
         return False
     if rule.header is not None and rule.header.value not in headers.all(rule.header.name.lower()):
@@ -113,7 +113,10 @@
 
 
 def session_of(names: Iterable[object], tenant: int, key: bytes = b"") -> str:
-    """The session by the first name given, kept apart by tenant; a keyed hash, so that no name leaves the front."""
+    """Return a keyed hash of the tenant and the first non-empty name, "" if there is none.
+
+    Hashing keeps the names of clients inside the frontend.
+    """
     for name in names:
         if isinstance(name, str) and name:
             text = f"{tenant}/{name}".encode("utf-8", "surrogatepass")
@@ -122,12 +125,15 @@
 
 
 class BadTimeLeft(ValueError):
-    """The time-left header is no whole number of milliseconds from 1 on."""
+    """The time-left header is not a whole number of milliseconds from 1 to 999999999."""
+
 
+def time_left(settings: Node, class_index: int, headers: Headers, elapsed: int) -> int:
+    """Return the nanoseconds left for a first token.
 
-def time_left(settings: Node, class_index: int, headers: Headers, waited: int) -> int:
-    """Nanoseconds the router has for a first token: what the client or the class allows, less what passed and
-    the margin for the answer's way back.  Raises BadTimeLeft."""
+    This is the lower of the client's and the class's limit, less the nanoseconds ``elapsed`` and a margin for the
+    answer's way back.  Raises BadTimeLeft.
+    """
     allowed = settings.classes[class_index].deadline_ms * MS
     text = headers.get(TIME_HEADER)
     if text:
@@ -135,4 +141,4 @@
             raise BadTimeLeft(f"header {TIME_HEADER}: {text[:40]!r}; allowed: milliseconds from 1 to 999999999")
         allowed = min(allowed, int(text) * MS)
     margin = min(settings.timing.answer_margin_ms * MS, allowed // 4)
-    return max(allowed - margin - waited, 0)
+    return max(allowed - margin - elapsed, 0)
--- a/stonetrack/frontend/connection_sink.py
+++ b/stonetrack/frontend/connection_sink.py
@@ -1,4 +1,4 @@
-"""What every answer does with its client's connection: the part of ``ports.Sink`` that knows no API."""
+"""The part of ``ports.Sink`` that is independent of the API: writing to the client's connection."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ConnectionSink:
-    """Writes on one client's connection without blocking."""
+    """Writes to one client connection without blocking."""
 
     __slots__ = ("connection",)
 
@@ -14,18 +14,18 @@
         self.connection = connection
 
     def fileno(self) -> int:
-        """The client's descriptor."""
+        """Return the descriptor of the client's socket."""
         return self.connection.fileno()
 
     @property
     def pending(self) -> int:
-        """Bytes not yet taken by the socket."""
+        """Bytes not yet accepted by the socket."""
         return len(self.connection.pending)
 
     def flush(self) -> int:
-        """Write what the socket takes."""
+        """Write pending data as far as the socket accepts it; return the bytes left.  Raises ClientDisconnected."""
         return self.connection.flush()
 
     def cork(self, on: bool) -> None:
-        """Keep what is written until uncorked."""
+        """While on, keep written data pending; the caller flushes afterwards."""
         self.connection.corked = on
--- a/stonetrack/frontend/instance_service.py
+++ b/stonetrack/frontend/instance_service.py
@@ -1,4 +1,4 @@
-"""What a front is given to work with, and what it tells afterwards."""
+"""The interface between the frontends and the instance, and the record of a finished request."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRecord:
-    """One request as it ended, for the log and the metrics; times in nanoseconds."""
+    """A finished request, for the log and the metrics; times in nanoseconds."""
 
     frontend: str
-    request: str
-    class_name: str  # of the settings that the request was read by
+    request_id: str
+    class_name: str  # of the settings under which the request was read
     tenant_name: str
     status: int
     outcome: str  # served, refused, failed, broken, rejected, gone
     duration: int
-    time_to_first_token: int  # until the answer began, -1 where it did not
+    time_to_first_token: int  # -1 if no answer began
     attempts: int
     usage: dict[str, Any] | None
 
 
 class InstanceService(Protocol):
-    """The instance behind the fronts."""
+    """The instance behind the frontends."""
 
     @property
     def settings(self) -> Node:
@@ -36,26 +36,26 @@
 
     @property
     def name(self) -> str:
-        """The instance's name, sent in answers."""
+        """The instance's name, sent in response headers."""
 
     @property
     def draining(self) -> bool:
         """Whether the instance is about to stop."""
 
-    def serve(self, ask: InferenceRequest, sink: Sink, waker: Waker) -> RequestLifecycle:
-        """Run one request to its end."""
+    def serve(self, request: InferenceRequest, sink: Sink, waker: Waker) -> RequestLifecycle:
+        """Run one request to its end.  Raises ApiError if the instance does not accept requests."""
 
     def clock(self) -> int:
-        """Nanoseconds of Unix time."""
+        """Return the Unix time in nanoseconds."""
 
     def health(self) -> tuple[bool, dict[str, Any]]:
-        """Whether the instance serves, and what it knows of itself."""
+        """Return whether the instance serves, and its health report."""
 
     def metrics(self) -> tuple[bytes, str]:
-        """The metrics page and its content type."""
+        """Return the metrics page and its content type."""
 
     def audit_lines(self, name: str, after: int) -> tuple[bytes, bool]:
-        """Lines of an account that is kept here, after a number, and whether there are more than these."""
+        """Return lines of an audit log stored here, after an entry number, and whether more follow."""
 
     def record(self, record: RequestRecord) -> None:
-        """Note how a request ended."""
+        """Log and count a finished request."""
--- a/stonetrack/frontend/json_limits.py
+++ b/stonetrack/frontend/json_limits.py
@@ -1,8 +1,8 @@
-"""Bounds on a JSON text before it is decoded: how deep, and how many values.
+"""Bounds the depth and the number of values of a JSON text before it is decoded.
 
-A decoder makes an object of every value: 8 MiB of ``[[[…`` or ``"a":1,`` would become hundreds of MiB.  Texts with
-few brackets and commas pass at once; in others strings are blanked out first, since commas in a prompt are no values.
-Cost: linear, a few passes of the C library.
+A decoder creates an object for every value: 8 MiB of ``[[[…`` or ``"a":1,`` would become hundreds of MiB.  Texts with
+few brackets and commas pass at once; in others, strings are replaced first, since commas in a prompt separate no
+values.  The cost is linear: a few passes in C.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class TooComplex(ValueError):
-    """A JSON text over the bounds; the text names found and allowed."""
+    """A JSON text exceeds the bounds; the message names the value found and the bound."""
 
 
 def check(text: bytes, depth: int, values: int) -> None:
@@ -22,12 +22,12 @@
     opening = text.count(b"[") + text.count(b"{")
     if opening <= depth and text.count(b",") + opening <= values:
         return
-    bare = _STRING.sub(b"0", text)
-    count = bare.count(b",") + bare.count(b"[") + bare.count(b"{") + 1
+    without_strings = _STRING.sub(b"0", text)
+    count = without_strings.count(b",") + without_strings.count(b"[") + without_strings.count(b"{") + 1
     if count > values:
         raise TooComplex(f"the body holds about {count} values; at most {values} are allowed")
-    level = 0
-    for found in _BRACKET.finditer(bare):
-        level += 1 if found.group() in b"[{" else -1
-        if level > depth:
+    current_depth = 0
+    for bracket in _BRACKET.finditer(without_strings):
+        current_depth += 1 if bracket.group() in b"[{" else -1
+        if current_depth > depth:
             raise TooComplex(f"the body nests deeper than {depth} levels")
--- a/stonetrack/frontend/long_poll.py
+++ b/stonetrack/frontend/long_poll.py
@@ -1,4 +1,4 @@
-"""Long polls: workers that wait on their client's connection and for news, and what wakes them."""
+"""Long polls: worker threads wait for a notification or for the end of their client's connection."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 from stonetrack.frontend.connection import Connection
 from stonetrack.node.request_runner import Waker
 
-_GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class LongPoll:
-    """Those that wait for news of one thing; ``stopping`` ends every wait."""
+    """The clients that wait for changes of one resource; ``stopping`` ends every wait."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._wakers: set[Waker] = set()
         self.stopping = False
-        self.clients_gone = 0  # clients that went while they waited
+        self.clients_gone = 0  # clients that disconnected while waiting
 
     def __len__(self) -> int:
         return len(self._wakers)
 
     def notify(self) -> None:
-        """There is news."""
+        """Wake all waiting clients after a change."""
         with self._lock:
             wakers = list(self._wakers)
         for waker in wakers:
             waker.wake()
 
     def stop(self) -> None:
-        """Nobody waits any more."""
+        """End all waits, current and future ones."""
         self.stopping = True
         self.notify()
 
-    def wait(self, connection: Connection, waker: Waker, wait_ms: float, enough: Callable[[], bool]) -> bool:
-        """Wait until there is enough, the time is over or all stops; whether the client is still there."""
+    def wait(self, connection: Connection, waker: Waker, wait_ms: float, is_done: Callable[[], bool]) -> bool:
+        """Wait for ``is_done``, :meth:`stop` or the end of the time; return False if the client disconnected."""
         poller = select.poll()
         poller.register(connection.fileno(), select.POLLRDHUP)
         poller.register(waker.fd, select.POLLIN)
         with self._lock:
             self._wakers.add(waker)
-        end = time.monotonic() + wait_ms / 1_000.0
+        deadline = time.monotonic() + wait_ms / 1_000.0
         try:
-            while not enough() and not self.stopping and (left := end - time.monotonic()) > 0:
-                for fd, mask in poller.poll(left * 1_000.0):
+            while not is_done() and not self.stopping and (time_left := deadline - time.monotonic()) > 0:
+                for fd, mask in poller.poll(time_left * 1_000.0):
                     if fd == waker.fd:
                         waker.clear()
-                    elif mask & _GONE:
+                    elif mask & _DISCONNECTED:
                         self.clients_gone += 1
                         return False
             return True
--- a/stonetrack/frontend/sinks.py
+++ b/stonetrack/frontend/sinks.py
@@ -1,7 +1,7 @@
-"""Answers on a client's connection: what every front's sinks share (``ports.Sink``).
+"""Sinks that write an answer to a client's HTTP connection (``ports.Sink``), shared by all frontends.
 
-A head is kept back until the first bytes that follow it, so that both leave in one packet.  After the final answer
-nothing more is written: a second one raises, which is a defect and closes the connection.
+A response head is held back until the first bytes of the body, so that both are sent in one packet.  A second final
+answer is a defect: it raises RuntimeError, and the connection is closed.
 """
 
 from __future__ import annotations
@@ -22,36 +22,36 @@
 
 
 class HttpSink(ConnectionSink):
-    """Shared by all: connection, timing, the one final answer."""
+    """Common part of the sinks: connection, timing, the single final answer."""
 
     def __init__(
         self,
         connection: Connection,
         request: HttpRequest,
         headers: tuple[tuple[str, str], ...],
-        limited: bool,
-        repeatable: bool,
+        has_quota: bool,
+        idempotent: bool,
     ) -> None:
         super().__init__(connection)
         self.request = request
         self.headers = headers
-        self.keep = request.head.keep_alive
-        self.limited, self.repeatable = limited, repeatable
-        self.first = -1  # monotonic ns of the beginning
+        self.keep_alive = request.head.keep_alive
+        self.has_quota, self.idempotent = has_quota, idempotent
+        self.started_at = -1  # monotonic ns at which the answer began, -1 before
         self.status = 0
-        self.ended = "gone"
+        self.outcome = "gone"
         self.usage: dict[str, Any] | None = None
 
     def begin(self) -> None:
-        """The answer begins."""
-        self.first = time.monotonic_ns()
+        """Note that the answer begins."""
+        self.started_at = time.monotonic_ns()
 
     def finish(self, final: ports.Final) -> None:
-        """Give the one final answer."""
-        if self.ended != "gone":
-            raise RuntimeError(f"a second final answer ({type(final).__name__} after {self.ended})")
-        self.ended = type(final).__name__.lower()
-        error = errors.of_final(final, self.limited, self.repeatable)
+        """Write the final answer.  Raises RuntimeError on a second call."""
+        if self.outcome != "gone":
+            raise RuntimeError(f"a second final answer ({type(final).__name__} after {self.outcome})")
+        self.outcome = type(final).__name__.lower()
+        error = errors.error_of_final(final, self.has_quota, self.idempotent)
         if error is None:
             self.complete()
         else:
@@ -66,63 +66,63 @@
         raise NotImplementedError
 
     def respond(self, status: int, body: bytes, headers: tuple[tuple[str, str], ...] = ()) -> None:
-        """Write one whole response."""
+        """Write a complete response."""
         self.status = status
-        self.keep = self.keep and not self.connection.closes_after_response
-        self.connection.write(plain_response(status, body, (*self.headers, *headers), keep=self.keep))
+        self.keep_alive = self.keep_alive and not self.connection.closes_after_response
+        self.connection.write(plain_response(status, body, (*self.headers, *headers), keep=self.keep_alive))
 
 
 class EventSink(HttpSink):
-    """Streams events; one that breaks ends with an error event and nothing that looks like an end."""
+    """Streams events; a broken stream ends with an error event and without the marker of a complete answer."""
 
     _head = b""
 
     def begin(self) -> None:
-        """See ``HttpSink``."""
+        """Implement ``HttpSink``."""
         super().begin()
         self.status = 200
-        self.keep = self.keep and not self.connection.closes_after_response
+        self.keep_alive = self.keep_alive and not self.connection.closes_after_response
         fields = [("Content-Type", "text/event-stream; charset=utf-8"), ("Cache-Control", "no-cache"), *self.headers]
-        if self.request.head.chunks and self.keep:
+        if self.request.head.chunks and self.keep_alive:
             self._head = writer.streamed(200, fields)
         elif self.request.head.chunks:
             self._head = writer.streamed(200, [*fields, ("Connection", "close")])
         else:
-            self.keep = False
+            self.keep_alive = False
             self._head = writer.response_until_close(200, [*fields, ("Connection", "close")])
 
-    def event(self, *data: bytes, last: bool = False) -> None:
-        """Write events, empty ones left out, and the end of the body after the last."""
-        parts = b"".join(sse.encode(each) for each in data if each)
+    def send_events(self, *data: bytes, last: bool = False) -> None:
+        """Write the non-empty events, and the end of the body if ``last``."""
+        encoded = b"".join(sse.encode(event) for event in data if event)
         if self.request.head.chunks:
-            parts = writer.chunk(parts) + (writer.LAST_CHUNK if last else b"")
+            encoded = writer.chunk(encoded) + (writer.LAST_CHUNK if last else b"")
         if self._head:
-            parts, self._head = self._head + parts, b""
-        if parts:
-            self.connection.write(parts)
+            encoded, self._head = self._head + encoded, b""
+        if encoded:
+            self.connection.write(encoded)
 
     def error_body(self, error: errors.ApiError) -> bytes:
-        """An error as this front's API gives it."""
+        """Return an error's body in the form of this frontend's API."""
         return _encode(error.body())
 
     def fail(self, error: errors.ApiError) -> None:
-        """See ``HttpSink``."""
-        if self.first >= 0:
-            self.keep = False
-            self.event(self.error_body(error), last=True)
+        """Implement ``HttpSink``."""
+        if self.started_at >= 0:
+            self.keep_alive = False
+            self.send_events(self.error_body(error), last=True)
         else:
             self.respond(error.status, self.error_body(error), error.headers)
 
 
-class WholeSink(HttpSink):
-    """Collects an answer and sends it whole; past the bound on its size it fails."""
+class BufferedSink(HttpSink):
+    """Collects an answer and sends it as one response; ``max_bytes`` bounds its size."""
 
-    most = 64 << 20
+    max_bytes = 64 << 20
 
     def error_body(self, error: errors.ApiError) -> bytes:
-        """An error as this front's API gives it."""
+        """Return an error's body in the form of this frontend's API."""
         return _encode(error.body())
 
     def fail(self, error: errors.ApiError) -> None:
-        """See ``HttpSink``."""
+        """Implement ``HttpSink``."""
         self.respond(error.status, self.error_body(error), error.headers)
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -23,7 +23,7 @@
 from stonetrack.fleet.rules import Judge, Terms, Verdict
 from stonetrack.fleet.traffic import Traffic
 from stonetrack.frontend import chat
-from stonetrack.frontend.chat import ChatWhole
+from stonetrack.frontend.chat import ChatBufferedSink
 from stonetrack.logic import Router
 from stonetrack.node.core import Core
 from tests.harness import QUICK, Harness, harness, wait_for
@@ -94,12 +94,12 @@
 
 @pytest.mark.parametrize("sabotage", [False, True])
 def test_one_final_answer_and_nothing_after_it(sabotage: bool) -> None:
-    def twice(self: ChatWhole) -> None:
+    def twice(self: ChatBufferedSink) -> None:
         right(self)
         self.respond(200, b'{"again": true}')
 
-    right = ChatWhole.complete
-    with harness(1, 1) as node, swapped(ChatWhole, "complete", twice if sabotage else right):
+    right = ChatBufferedSink.complete
+    with harness(1, 1) as node, swapped(ChatBufferedSink, "complete", twice if sabotage else right):
         seen = ask_all(node, [planned(n, how="plain") for n in range(4)])
         verdict = judged(node, seen, 0.1)
     assert broken(verdict) == ({1} if sabotage else set()), verdict.breaches
