--- a/benchmarks/bare.py
+++ b/benchmarks/bare.py
@@ -11,7 +11,7 @@
 import sys
 import threading
 
-from stonetrack.engines.protocol import CHAT
+from stonetrack.engines.protocol import CHAT_PATH
 
 _LENGTH = re.compile(rb"[Cc]ontent-[Ll]ength: (\d+)")
 
@@ -44,7 +44,7 @@
             body = request[request.index(b"\r\n\r\n") + 4 :]
             read = body[:-1] + b',"do_remote_decode":true}'
             engines[0].sendall(
-                b"POST %b HTTP/1.1\r\nHost: e\r\nContent-Length: %d\r\n\r\n" % (CHAT.encode(), len(read)) + read
+                b"POST %b HTTP/1.1\r\nHost: e\r\nContent-Length: %d\r\n\r\n" % (CHAT_PATH.encode(), len(read)) + read
             )
             receive(engines[0])
             engines[1].sendall(request)
--- a/stonetrack/clocks.py
+++ b/stonetrack/clocks.py
@@ -2,8 +2,8 @@
 
 Every span (deadlines, windows, waits, leases, idle times, back-offs) runs on the monotonic clock, ``time.monotonic``.
 The wall clock may be stepped by an hour either way at any moment.  It is read for timestamps in records, and once at
-the start of a process for :func:`node_clock`, since lists give engines' starts as Unix time (``engines/starts.py`` says
-how far that is trusted).
+the start of a process for :func:`node_clock`, since lists give engines' starts as Unix time
+(``engines/start_times.py`` says how far that is trusted).
 """
 
 from __future__ import annotations
--- a/stonetrack/control/calls.py
+++ b/stonetrack/control/calls.py
@@ -9,7 +9,7 @@
 from stonetrack.election.fence import HEADER, NOBODY, Token
 from stonetrack.engines import calls
 from stonetrack.engines.calls import CallFailed
-from stonetrack.engines.listing import split_address
+from stonetrack.engines.server_list import split_address
 from stonetrack.wire import writer
 
 
--- a/stonetrack/controller/checking.py
+++ b/stonetrack/controller/checking.py
@@ -2,7 +2,7 @@
 
 An engine that did not answer ``fails`` checks in a row is published in the list with the moment at which that began
 (``failing``), and published again as well once it answers.  Nothing is published in between, so that a fleet hears of
-changes alone.  Nodes take it as a hint (``engines.hints``).
+changes alone.  Nodes take it as a hint (``engines.failure_hints``).
 
 Never more than ``most_share`` of a role is published as failing at one time: a prober that is cut off itself, or mad,
 sees all of them fail, and must not have the fleet leave them out.
--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -41,9 +41,9 @@
 from stonetrack.daemon.places import Places
 from stonetrack.daemon.readiness import Readiness
 from stonetrack.engines.client import EngineClient
-from stonetrack.engines.hints import Hints, good_at_of
-from stonetrack.engines.listing import Engine, Line, Listing
-from stonetrack.engines.sources import ListSource
+from stonetrack.engines.failure_hints import FailureHints, last_success_lookup
+from stonetrack.engines.list_source import ListSource
+from stonetrack.engines.server_list import Engine, EngineEntry, ServerListState
 from stonetrack.frontend.app import App, refusal
 from stonetrack.frontend.classify import hash_key
 from stonetrack.frontend.errors import ApiError
@@ -117,7 +117,7 @@
         self.recorder = self._recorder(settings, index, instances, name, seed, clock, log)
         mark = self._mark if settings.control.mark else None
         self.core = Core(router, clock, log=log, probe=self._probe, record=self._records(), acting=mark)
-        self._hints = Hints(good_at_of(lambda: getattr(router, "servers", {})))
+        self._hints = FailureHints(last_success_lookup(lambda: getattr(router, "servers", {})))
         if self.recorder is not None and isinstance(router, Router):
             self.recorder.after_gaps(self.core.still, lambda: snapshot.take(router))
         self.engines = EngineClient(settings, clock, name, self.core.tell, self.core.acting_of)
@@ -162,7 +162,7 @@
         self.core.still(between_two_events)
         self.places.settings = laid
         self.bounds = bounds(settings)
-        self.engines.change(settings)
+        self.engines.apply_settings(settings)
         self.settings = settings
         return self.places.gone(told)
 
@@ -230,9 +230,9 @@
         self.engines.list_changed(engines)
         self.core.tell(event)
 
-    def take_hints(self, lines: Mapping[str, Line]) -> None:
-        """What the list says of engines that the steward can't reach; see ``engines.hints``."""
-        for name in self._hints.take(lines, self.core.clock()):
+    def take_hints(self, lines: Mapping[str, EngineEntry]) -> None:
+        """What the list says of engines that the steward can't reach; see ``engines.failure_hints``."""
+        for name in self._hints.select(lines, self.core.clock()):
             self.core.tell(api.ProbeEnded(name, api.Outcome.TIMED_OUT, 0))
 
     def close(self, wait: float = 1.0) -> None:
@@ -268,7 +268,7 @@
         self.started = time.monotonic()
         self.draining = False
         self._lock = threading.Lock()
-        self._listing = Listing(settings.kinds)
+        self._listing = ServerListState(settings.kinds)
         self._last_list: dict[str, Engine] = {}
         self._old: list[Generation] = []
         self._boot = os.urandom(6).hex()
@@ -318,7 +318,7 @@
 
     def _make_readiness(self, settings: Node) -> Readiness:
         return Readiness(
-            settings, self.clock, lambda name: self._current.engines.reach(name), self._say, random.Random()
+            settings, self.clock, lambda name: self._current.engines.preconnect(name), self._say, random.Random()
         )
 
     def _follow(self, settings: Node) -> ListSource:
@@ -329,10 +329,10 @@
             self.clock,
             instance=self.name,
             saved=saved,
-            take=self._take_list,
+            on_list=self._take_list,
             log=self._warn,
-            found=self._readiness.found,
-            confirmed=self._readiness.document,
+            may_use_saved=self._readiness.found,
+            on_confirmed=self._readiness.document,
             nodes=settings.routing.routers or self.instances,
         )
 
@@ -365,14 +365,14 @@
             if not kept:
                 fresh = self._generation(settings, version)
                 if same_list:
-                    entries = self._listing.saved()
-                    event = Listing(settings.kinds).take(entries, self.clock(), saved=True)
+                    entries = self._listing.to_json()
+                    event = ServerListState(settings.kinds).apply_json(entries, self.clock(), saved=True)
                     fresh.take_list(event, dict(self._last_list))
                 self._current = fresh
                 self._old.append(old)
             if not same_list or settings.source != source:
                 self._source.stop()
-                self._listing = Listing(settings.kinds)
+                self._listing = ServerListState(settings.kinds)
                 self._readiness.stop()
                 self._readiness = self._make_readiness(settings)
                 self._source = self._follow(settings)
@@ -445,7 +445,7 @@
 
     def health(self) -> tuple[bool, dict[str, Any]]:
         """Whether it takes requests, and what it knows of itself."""
-        up = [line.name for line in self._listing.lines.values() if line.state is api.ServerState.UP]
+        up = [line.name for line in self._listing.entries.values() if line.state is api.ServerState.UP]
         why = self._readiness.why() or (self._control.refusal() if self._control is not None else "")
         status = "draining" if self.draining else why or ("ok" if up else "no engine is up")
         return status == "ok", {
@@ -456,7 +456,7 @@
             "version": __version__,
             "pid": os.getpid(),
             "uptime_seconds": round(time.monotonic() - self.started, 3),
-            "engines": len(self._listing.lines),
+            "engines": len(self._listing.entries),
             "engines_up": len(up),
             "list_version": self._listing.version,
             "requests": self.open_requests,
@@ -500,7 +500,7 @@
         for each in generations:
             each.take_list(event, engines)
             if self.settings.source.heed_checks:
-                each.take_hints(self._listing.lines)
+                each.take_hints(self._listing.entries)
         self._log.info(
             "server list", instance=self.name, kind=event.kind.value, version=event.version, engines=len(event.entries)
         )
@@ -518,7 +518,7 @@
         yield meters.gauge("connections", "Client connections", self.host.connections)
         yield meters.gauge("workers", "Worker threads", self.host.workers)
         yield meters.gauge("open_releases", "States and places not let go of yet", background.open_releases)
-        yield meters.gauge("release_engines_away", "Engines that releases wait for", background.engines_away)
+        yield meters.gauge("release_engines_away", "Engines that releases wait for", background.unreachable_engines)
         yield meters.gauge("dropped_releases", "Releases given up, of what stays held", background.dropped_releases)
         yield meters.counts(
             "refused_clients", "Clients refused before a request was taken", "why", {"limits": self.host.refused}
@@ -532,12 +532,12 @@
             yield meters.counts("capture_records", "Calls of the router, by what became of them", "what",
                                 {"written": current.recorder.written, "lost": current.recorder.lost})  # fmt: skip
         yield meters.counts("list_questions", "Questions to the list service, by how they ended", "how",
-                            dict(self._source.asked))  # fmt: skip
+                            dict(self._source.poll_results))  # fmt: skip
         steps = self._source.steps
         yield meters.by("list_pending", "Engines of the list that are not yet as it says", "what",
                         {"new": float(steps.waiting), "gone": float(steps.held)})  # fmt: skip
         yield meters.gauge("list_version", "Version of the server list in force", self._listing.version)
         yield meters.by("stage", "Where the process stands, 1 for its stage", "stage",
                         {stage.value: float(stage is self._readiness.stage) for stage in Stage})  # fmt: skip
-        states = Counter(line.state.value for line in self._listing.lines.values())
+        states = Counter(line.state.value for line in self._listing.entries.values())
         yield meters.by("engines", "Engines in the list", "state", {k: float(v) for k, v in states.items()})
--- a/stonetrack/discovery/service.py
+++ b/stonetrack/discovery/service.py
@@ -34,9 +34,9 @@
 from stonetrack.discovery.settings import Lists
 from stonetrack.discovery.turns import ComeAgain, Turns
 from stonetrack.election.fence import HEADER, Fence, Refused, Token, token_of
-from stonetrack.engines import listing
-from stonetrack.engines.listing import ListError, split_address
-from stonetrack.engines.sources import stamp
+from stonetrack.engines import server_list
+from stonetrack.engines.list_source import file_signature
+from stonetrack.engines.server_list import ListError, split_address
 from stonetrack.frontend.connection import Connection, Request
 from stonetrack.frontend.host import Host, plain
 from stonetrack.frontend.refusals import error_body, plain_refusal
@@ -47,7 +47,7 @@
 PATH = "/engines"
 MOST_NAMED = 20  # engines that a line of the log names
 Log = Callable[..., None]
-_KNOWN = tuple(listing.Line.__struct_fields__)
+_KNOWN = tuple(server_list.EngineEntry.__struct_fields__)
 
 
 def lines_of(data: bytes) -> list[Mapping[str, Any]]:
@@ -57,7 +57,7 @@
         given = raw["engines"] if isinstance(raw, dict) else None
         if not isinstance(given, list):
             raise ListError('server list: {"engines": [...]} is allowed')
-        checked = msgspec.convert(given, list[listing.Line])
+        checked = msgspec.convert(given, list[server_list.EngineEntry])
     except (msgspec.DecodeError, msgspec.ValidationError, KeyError, RecursionError) as error:
         raise ListError(f"server list: {error}") from None
     for n, line in enumerate(checked):
@@ -148,7 +148,7 @@
     def _read_file(self) -> None:
         path = Path(self.settings.file)
         try:
-            seen = stamp(path)
+            seen = file_signature(path)
             if seen != self._seen:
                 self.put(lines_of(path.read_bytes()), whole=True)
                 self._seen, self._trouble = seen, ""
--- a/stonetrack/edge/abandoned.py
+++ b/stonetrack/edge/abandoned.py
@@ -30,8 +30,8 @@
 from dataclasses import dataclass, field
 
 from stonetrack.edge.hosts import Engine
-from stonetrack.engines.releases import Heard, Item
-from stonetrack.engines.releasing import Releasing
+from stonetrack.engines.release_queue import PendingRelease, ReleaseResult
+from stonetrack.engines.release_workers import ReleaseWorkers
 from stonetrack.node import sockets
 from stonetrack.node.threads import lasting
 
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class _Release(Item):
+class _Release(PendingRelease):
     """One release, tried until it is heard or ``once``."""
 
     once: bool = False
@@ -98,7 +98,7 @@
     """See the module.
 
     ``release`` tries once to let go of all that is held for a request, at any engine; ``ask`` carries one release to
-    one engine (:class:`.Heard`); ``needed`` tells whether another attempt of the request needs what is held.
+    one engine (:class:`.ReleaseResult`); ``needed`` tells whether another attempt of the request needs what is held.
     ``most_watched`` bounds the connections.
     """
 
@@ -106,8 +106,8 @@
         self,
         clock: Callable[[], int],
         within: int,
-        release: Callable[[Item], Heard],
-        ask: Callable[[Engine, str], Heard],
+        release: Callable[[PendingRelease], ReleaseResult],
+        ask: Callable[[Engine, str], ReleaseResult],
         needed: Callable[[str], bool],
         most_watched: int,
         log: Callable[[str], None],
@@ -123,7 +123,7 @@
         self._changed = threading.Condition(threading.Lock())
         self._stopping = False
         self.counts = Counts()
-        self._releasing = Releasing(clock, ASK_PAUSE, THREADS, self._carry, self._over, log=log)
+        self._releasing = ReleaseWorkers(clock, ASK_PAUSE, THREADS, self._carry, self._over, log=log)
         self._thread = lasting("abandoned-reads", self._run, log)
 
     def __len__(self) -> int:
@@ -206,7 +206,7 @@
         debt.told_at = self._clock()
         debt.due, debt.left, debt.asked = debt.told_at, INFORMED, False
         with self._releasing.changed:
-            self._releasing.book.back(debt.engine.name, debt.told_at)
+            self._releasing.queue.engine_reachable(debt.engine.name, debt.told_at)
             self._releasing.changed.notify_all()
 
     def _look(self, now: int) -> None:
@@ -261,18 +261,18 @@
     def _add(self, debt: _Debt, server: str, now: int, once: bool) -> None:
         self.counts.releases += 1
         with self._releasing.changed:
-            number = self._releasing.book.add(_Release(debt.request, server, 0, None, now, once=once))
+            number = self._releasing.queue.add(_Release(debt.request, server, 0, None, now, once=once))
             if server:
                 self._asked[number] = debt
             self._releasing.changed.notify_all()
 
-    def _carry(self, item: Item) -> Heard:
+    def _carry(self, item: PendingRelease) -> ReleaseResult:
         if not item.server:
             heard = self._release(item)
-            return Heard.DONE if isinstance(item, _Release) and item.once else heard
+            return ReleaseResult.DONE if isinstance(item, _Release) and item.once else heard
         engine = self._engines.get(item.server)
-        return Heard.DONE if engine is None else self._ask(engine, item.request)  # none: its debts were dropped
+        return ReleaseResult.DONE if engine is None else self._ask(engine, item.request)  # none: its debts were dropped
 
-    def _over(self, number: int, item: Item) -> None:
+    def _over(self, number: int, item: PendingRelease) -> None:
         if (debt := self._asked.pop(number, None)) is not None:
             self._answers.append((debt, item.tries > 1))
--- a/stonetrack/edge/calls.py
+++ b/stonetrack/edge/calls.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from stonetrack.edge.hosts import Engine
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
 from stonetrack.node.sockets import MachineShort, close, reset
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
@@ -58,7 +58,7 @@
 class Calls:
     """Calls engines; remembers for a while which did not answer."""
 
-    def __init__(self, pool: Pool, clock: Callable[[], int], connect: float) -> None:
+    def __init__(self, pool: ConnectionPool, clock: Callable[[], int], connect: float) -> None:
         self._pool, self._clock, self._connect = pool, clock, connect
         self.suspects: dict[str, int] = {}  # until when, by engine
 
@@ -68,12 +68,12 @@
 
     def heard(self, engine: Engine) -> float:
         """Monotonic time in seconds at which an engine last answered on the shared pool; 0 for never."""
-        return self._pool.heard(engine.host, engine.port)
+        return self._pool.last_response_at(engine.host, engine.port)
 
     def call(self, engine: Engine, message: bytes, timeout: float) -> Answer:
         """One call's answer.  Raises OSError; the engine then counts as suspect for a while."""
         try:
-            sock, age = self._pool.take(engine.host, engine.port, min(self._connect, timeout))
+            sock, age = self._pool.acquire(engine.host, engine.port, min(self._connect, timeout))
             try:
                 answer = exchange(sock, message, timeout)
             except TimeoutError:
@@ -81,7 +81,7 @@
                 raise
             except OSError:
                 reset(sock)
-                self._pool.unanswered(age)
+                self._pool.record_unanswered(age)
                 raise
         except MachineShort:
             raise  # no fault of the engine's
@@ -89,7 +89,7 @@
             self.suspects[engine.name] = self._clock() + SUSPECT
             raise
         if answer.keep:
-            self._pool.give(engine.host, engine.port, sock)
+            self._pool.put_back(engine.host, engine.port, sock)
         else:
             close(sock)
         return answer
--- a/stonetrack/edge/config.py
+++ b/stonetrack/edge/config.py
@@ -15,7 +15,7 @@
 from msgspec import Meta
 
 from stonetrack import api, simulator_adapter
-from stonetrack.engines.listing import split_address
+from stonetrack.engines.server_list import split_address
 
 
 class ConfigError(ValueError):
--- a/stonetrack/edge/engines.py
+++ b/stonetrack/edge/engines.py
@@ -17,7 +17,7 @@
 from stonetrack.edge.leases import Leases, Settled
 from stonetrack.edge.probes import Probes
 from stonetrack.engines.attempt import SocketAttempt
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
 from stonetrack.node.ports import Ask, Attempt, Over
 from stonetrack.node.records import Records
 from stonetrack.node.sockets import MachineShort, close, readable, reset
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        pool: Pool,
+        pool: ConnectionPool,
         leases: Leases,
         probes: Probes,
         clock: Callable[[], int],
@@ -72,7 +72,7 @@
         self._engines = engines
         self.leases.list_changed(engines)
         self.probes.list_changed(engines)
-        self.pool.forget({(e.host, e.port) for e in engines.values()})
+        self.pool.retain({(e.host, e.port) for e in engines.values()})
 
     def start(
         self, ask: Ask, server: str, number: int, state: Any, place: bool, may_send: Callable[[str], bool]
@@ -84,11 +84,11 @@
         try:
             # A release that is still open is tried on while this connects: an engine that is cut off takes all of
             # the time for connecting, and nothing of the request is out meanwhile.
-            sock, age = self.pool.take(engine.host, engine.port, self._connect)
+            sock, age = self.pool.acquire(engine.host, engine.port, self._connect)
             settled = self.leases.settle(ask.request)
             if settled is not Settled.NOTHING and age is not None and readable(sock):
                 close(sock)  # it was closed while the release was waited for
-                sock, age = self.pool.take(engine.host, engine.port, self._connect)
+                sock, age = self.pool.acquire(engine.host, engine.port, self._connect)
         except OSError as error:
             if self._trace is not None:
                 self._trace(f"trace connect {server}: {type(error).__name__} {error}")
@@ -119,9 +119,9 @@
         attempt = SocketAttempt(
             sock,
             request_bytes(ask, left),
-            Exchange(engine.role, _LIMITS, self._read_report, lambda: self.pool.unanswered(age)),
+            Exchange(engine.role, _LIMITS, self._read_report, lambda: self.pool.record_unanswered(age)),
             CONFIRM,
-            lambda back: self.pool.give(engine.host, engine.port, back),
+            lambda back: self.pool.put_back(engine.host, engine.port, back),
             api.Outcome.CONNECT_FAILED,
             self._abandon(ask.request, engine),
         )
@@ -145,7 +145,7 @@
     def kept(self, server: str) -> int:
         """Idle connections to a server."""
         engine = self._engines.get(server)
-        return self.pool.kept(engine.host, engine.port) if engine is not None else 0
+        return self.pool.idle_count(engine.host, engine.port) if engine is not None else 0
 
     def hold(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
         """See ``ports.Engines.hold``: the platform's node asks for no reservation (docs/obligations.md)."""
--- a/stonetrack/edge/exchange.py
+++ b/stonetrack/edge/exchange.py
@@ -65,7 +65,7 @@
     """Reads one answer; see the table above.  Feed it until it gives an ``Over``."""
 
     __slots__ = ("_ahead", "_body", "_first", "_head", "_over", "_read_report", "_reader", "_role", "_tail",
-                 "_unanswered", "began", "reusable", "seen")  # fmt: skip
+                 "_unanswered", "began", "reusable", "received")  # fmt: skip
 
     def __init__(
         self,
@@ -85,16 +85,16 @@
         self._ahead = 0
         self.began = False
         self.reusable = False
-        self.seen = False
+        self.received = False
 
     @property
-    def settled(self) -> bool:
+    def fully_read(self) -> bool:
         """Whether the answer's last byte has come and nothing behind it."""
         return self._reader.idle
 
     def feed(self, data: bytes) -> list[AttemptEvent]:
         """What these bytes tell."""
-        self.seen = True
+        self.received = True
         events: list[AttemptEvent] = []
         if self._over:
             self.reusable = False  # bytes that nobody asked for
@@ -114,13 +114,13 @@
 
     def eof(self) -> list[AttemptEvent]:
         """The engine has closed."""
-        return self.reset(f"the engine closed {'within its answer' if self.seen else 'before any answer'}")
+        return self.reset(f"the engine closed {'within its answer' if self.received else 'before any answer'}")
 
     def reset(self, why: str) -> list[AttemptEvent]:
         """The connection broke."""
         events: list[AttemptEvent] = []
         self.reusable = False
-        if not self.seen and not self._over:
+        if not self.received and not self._over:
             self._unanswered()
         self._end(Outcome.RESET, events, why=why)
         return events
--- a/stonetrack/edge/hosts.py
+++ b/stonetrack/edge/hosts.py
@@ -14,8 +14,8 @@
 
 from stonetrack import api
 from stonetrack.edge.documents import DocumentError
-from stonetrack.engines.listing import split_address
-from stonetrack.engines.starts import Starts
+from stonetrack.engines.server_list import split_address
+from stonetrack.engines.start_times import StartTimes
 
 MS = 1_000_000
 _STATES = {
@@ -70,7 +70,7 @@
         self._roles = roles
         self.engines: dict[str, Engine] = {}
         self.rev = -1
-        self._starts = Starts()
+        self._starts = StartTimes()
         self._heard = False  # whether any list but the one that the configuration brought was taken
         self.passed_over: list[str] = []  # what the last document held that can't be used
 
--- a/stonetrack/edge/leases.py
+++ b/stonetrack/edge/leases.py
@@ -20,8 +20,8 @@
 
 from stonetrack.edge.calls import Calls
 from stonetrack.edge.hosts import Engine
-from stonetrack.engines.releases import Heard, Item
-from stonetrack.engines.releasing import Releasing
+from stonetrack.engines.release_queue import PendingRelease, ReleaseResult
+from stonetrack.engines.release_workers import ReleaseWorkers
 from stonetrack.node.records import Records
 from stonetrack.node.transitions import Step
 from stonetrack.wire import writer
@@ -68,7 +68,7 @@
     ) -> None:
         self._calls, self._clock, self._records = calls, clock, records
         self._engines: dict[str, Engine] = {}
-        self._releasing = Releasing(clock, release_within, threads, self.try_any, self._over, log=log)
+        self._releasing = ReleaseWorkers(clock, release_within, threads, self.try_any, self._over, log=log)
         self._open: dict[str, int] = {}  # releases that wait, by request; guarded as the book is
 
     def start(self) -> None:
@@ -102,7 +102,7 @@
         if request not in self._open:
             return Settled.NOTHING
         with self._releasing.changed:
-            heard = self._releasing.settle(lambda: request not in self._open, SETTLE)
+            heard = self._releasing.wait_until(lambda: request not in self._open, SETTLE)
             return Settled.HEARD if heard else Settled.UNHEARD
 
     def release(self, request: str) -> None:
@@ -112,46 +112,46 @@
 
     def _add(self, request: str) -> None:
         with self._releasing.changed:
-            book = self._releasing.book
+            book = self._releasing.queue
             if request not in self._open:
-                self._open[request] = book.add(Item(request, "", 0, None, self._clock()))
-                if len(self._open) > 2 * book.most:  # the book dropped releases that were never tried
+                self._open[request] = book.add(PendingRelease(request, "", 0, None, self._clock()))
+                if len(self._open) > 2 * book.max_open:  # the book dropped releases that were never tried
                     self._open = {name: number for name, number in self._open.items() if number in book}
                 self._releasing.changed.notify_all()
 
-    def _over(self, number: int, item: Item) -> None:
+    def _over(self, number: int, item: PendingRelease) -> None:
         if self._open.get(item.request) == number:
             del self._open[item.request]
 
-    def try_any(self, item: Item) -> Heard:
+    def try_any(self, item: PendingRelease) -> ReleaseResult:
         """One try of a release, at the engine that is likeliest to hear it.  Owed: ``Obligation.RELEASE``."""
         engines = list(self._engines.values())
-        engine = pick(engines, self._calls.heard, self._calls.suspects, self._clock(), item.tried)
+        engine = pick(engines, self._calls.heard, self._calls.suspects, self._clock(), item.tried_engines)
         if engine is None:
-            return Heard.AGAIN
+            return ReleaseResult.RETRY
         try:
-            return self._call(engine, item.request, item.decided, RELEASE_TIMEOUT)
+            return self._call(engine, item.request, item.decided_at, RELEASE_TIMEOUT)
         except OSError as error:
-            self._note(item.request, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided=item.decided)
-            return Heard.AGAIN  # the next try goes to another engine
+            self._note(item.request, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided=item.decided_at)
+            return ReleaseResult.RETRY  # the next try goes to another engine
 
-    def try_one(self, engine: Engine, request: str) -> Heard:
+    def try_one(self, engine: Engine, request: str) -> ReleaseResult:
         """One try of a release at one engine, at its present address."""
         listed = self._engines.get(engine.name)
         try:
             return self._call(listed or engine, request, self._clock(), ASK_TIMEOUT)
         except ConnectionRefusedError:
-            return Heard.DONE  # its process is gone, with all that it held
+            return ReleaseResult.DONE  # its process is gone, with all that it held
         except OSError:
-            return Heard.GONE if listed is None else Heard.AWAY
+            return ReleaseResult.DELISTED if listed is None else ReleaseResult.UNREACHABLE
 
-    def _call(self, engine: Engine, request: str, decided: int, timeout: float) -> Heard:
+    def _call(self, engine: Engine, request: str, decided: int, timeout: float) -> ReleaseResult:
         """One call.  Raises OSError."""
         message = writer.request("DELETE", PATH + request, [("Host", f"{engine.host}:{engine.port}")], None)
         status = self._calls.call(engine, message, timeout).head.status
         heard = Step.RELEASE_HEARD if status < 500 else Step.RELEASE_UNHEARD
         self._note(request, heard, engine.name, why=str(status), decided=decided)
-        return Heard.DONE if status < 500 else Heard.AGAIN
+        return ReleaseResult.DONE if status < 500 else ReleaseResult.RETRY
 
     def _note(self, request: str, step: Step, engine: str = "", why: str = "", decided: int = 0) -> None:
         if self._records is not None:
--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -34,7 +34,7 @@
 from stonetrack.edge.probes import Probes
 from stonetrack.edge.sink import EdgeSink, whole
 from stonetrack.edge.watch import Watch
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
 from stonetrack.frontend.connection import Connection, Request
 from stonetrack.frontend.host import Host, listen
 from stonetrack.node.core import Core
@@ -80,7 +80,7 @@
             record=record,
         )
         settings = config.settings
-        self.pool = Pool(budget.kept, config.connection_idle / SECOND / 2, budget.kept)
+        self.pool = ConnectionPool(budget.kept, config.connection_idle / SECOND / 2, budget.kept)
         connect = max(settings.connect_timeout, 1) / SECOND
         self.calls = Calls(self.pool, self.clock, connect)
         self.records = Records(self.clock, settings.release_within, log, log_all=traced)
--- a/stonetrack/edge/sink.py
+++ b/stonetrack/edge/sink.py
@@ -38,15 +38,15 @@
 
     def begin(self) -> None:
         """The answer begins; its head leaves with the first event."""
-        self.keep = self.keep and not self.connection.last and self.request.head.chunks
+        self.keep = self.keep and not self.connection.last and self.request.head.accepts_chunked
         fields = [("Content-Type", "text/event-stream"), *(() if self.keep else (("Connection", "close"),))]
-        head = writer.streamed if self.request.head.chunks else writer.response_until_close
+        head = writer.chunked_head if self.request.head.accepts_chunked else writer.close_delimited_head
         self._head = head(200, fields)
 
     def piece(self, piece: ports.Piece) -> None:
         """Pass events on."""
         assert isinstance(piece, ports.Passed)
-        data = writer.chunk(piece.data) if self.request.head.chunks else piece.data
+        data = writer.chunk(piece.data) if self.request.head.accepts_chunked else piece.data
         if self._head:
             data, self._head = self._head + data, b""
         self.connection.write(data)
@@ -58,7 +58,7 @@
         self.ended = type(final).__name__.lower()
         match final:
             case ports.Served():
-                if self.request.head.chunks:
+                if self.request.head.accepts_chunked:
                     self.connection.write(writer.LAST_CHUNK)
             case ports.Broken():
                 self.keep = False  # the connection ends without the last chunk
--- a/stonetrack/emulator/host.py
+++ b/stonetrack/emulator/host.py
@@ -345,11 +345,13 @@
 
     @staticmethod
     def _job(head: http1.RequestHead, body: bytes) -> str:
-        if head.path == protocol.CHAT:
+        if head.path == protocol.CHAT_PATH:
             if b'"do_remote_decode":true' in body:
                 return "read"
             return "write" if b'"do_remote_prefill":true' in body else "whole"
-        return {protocol.RELEASE: "release", protocol.HOLD: "hold", "/metrics": "probe"}.get(head.path, "other")
+        return {protocol.RELEASE_PATH: "release", protocol.RESERVE_PATH: "hold", "/metrics": "probe"}.get(
+            head.path, "other"
+        )
 
     def _run(self, conn: Conn, slot: Slot, head: http1.RequestHead, body: bytes) -> None:
         engine = slot.engine
@@ -421,7 +423,7 @@
         if each.first:
             report = [(load.HEADER, load.to_header(slot.engine.report()))] if slot.engine is not None else []
             data = (
-                writer.streamed(200, [("Content-Type", "text/event-stream"), ("X-Request-Id", conn.busy), *report])
+                writer.chunked_head(200, [("Content-Type", "text/event-stream"), ("X-Request-Id", conn.busy), *report])
                 + data
             )
             conn.streaming = True
--- a/stonetrack/engines/attempt.py
+++ b/stonetrack/engines/attempt.py
@@ -20,7 +20,7 @@
     """What reads one answer of an engine, by the protocol that is spoken with it."""
 
     @property
-    def seen(self) -> bool:
+    def received(self) -> bool:
         """Whether any byte of an answer came."""
 
     @property
@@ -28,7 +28,7 @@
         """Whether the connection may carry another request."""
 
     @property
-    def settled(self) -> bool:
+    def fully_read(self) -> bool:
         """Whether the answer's last byte has come, after its outcome was given."""
 
     def feed(self, data: bytes) -> list[AttemptEvent]:
@@ -116,7 +116,7 @@
         self._short = 0
         if data:
             events = self._exchange.feed(data)
-        elif self._out and not self._exchange.seen:
+        elif self._out and not self._exchange.received:
             return self._broke("the engine closed before it took the whole request")
         else:
             events = self._exchange.eof()
@@ -136,7 +136,7 @@
         self._short += 1
         if self._short < _SHORT_MOST:
             return []
-        unsent = bool(self._out) and not self._exchange.seen
+        unsent = bool(self._out) and not self._exchange.received
         self._drop()
         if not unsent and self._abandoned is not None:
             self._abandoned(None)
@@ -144,7 +144,7 @@
 
     def _broke(self, why: str) -> list[AttemptEvent]:
         """The connection is gone.  What the engine can't have taken whole, it can't have run (RFC 9112, 8)."""
-        unsent = bool(self._out) and not self._exchange.seen
+        unsent = bool(self._out) and not self._exchange.received
         self._drop()
         if unsent:
             return [Over(self._unsent, why)]
@@ -155,11 +155,11 @@
     def _settle(self, sock: socket.socket, alive: bool) -> None:
         """After the outcome: keep the connection where its answer is whole, else close it."""
         if alive and not self._out and self._exchange.reusable:
-            if not self._exchange.settled:
+            if not self._exchange.fully_read:
                 with contextlib.suppress(OSError):
                     if sockets.readable(sock, _SETTLE_MS):
                         self._exchange.feed(sockets.receive(sock, 4_096))
-            if self._exchange.settled and self._exchange.reusable:
+            if self._exchange.fully_read and self._exchange.reusable:
                 self._sock = None
                 self._give_back(sock)
                 return
--- a/stonetrack/engines/background_calls.py
+++ b/stonetrack/engines/background_calls.py
@@ -17,9 +17,9 @@
 from stonetrack import api
 from stonetrack.engines import load, protocol
 from stonetrack.engines.calls import CallFailed, call
-from stonetrack.engines.listing import Engine
-from stonetrack.engines.releases import Heard, Item
-from stonetrack.engines.releasing import Releasing
+from stonetrack.engines.release_queue import PendingRelease, ReleaseResult
+from stonetrack.engines.release_workers import ReleaseWorkers
+from stonetrack.engines.server_list import Engine
 from stonetrack.node.threads import lasting
 from stonetrack.wire import writer
 
@@ -54,16 +54,16 @@
         log: Callable[[str], None] = lambda text: None,
     ) -> None:
         self._find, self._clock, self._instance = find, clock, instance
-        self._timeout, self._probed = timeout, probed  # see patience()
+        self._timeout, self._probed = timeout, probed  # see set_timeout()
         self._jobs: queue.Queue[Callable[[], None] | None] = queue.Queue(most)
         self._listed = listed
-        self._releasing = Releasing(clock, release_within, threads, self._release, seed=seed, log=log)
+        self._releasing = ReleaseWorkers(clock, release_within, threads, self._release, seed=seed, log=log)
         self._holding: dict[str, _Hold] = {}  # places asked for and not answered yet, by request
         self._hold_lock = threading.Lock()
         self.dropped = 0
         self._threads = [lasting(f"engines-{n}", self._work, log) for n in range(threads)]
 
-    def patience(self, seconds: float) -> None:
+    def set_timeout(self, seconds: float) -> None:
         """How long a call may take from here on."""
         self._timeout = seconds
 
@@ -90,12 +90,12 @@
     @property
     def dropped_releases(self) -> int:
         """Releases given up: what they were for stays held at engines that run."""
-        return self._releasing.book.dropped
+        return self._releasing.queue.dropped
 
     @property
-    def engines_away(self) -> int:
+    def unreachable_engines(self) -> int:
         """Engines that releases wait for."""
-        return self._releasing.book.away
+        return self._releasing.queue.unreachable_engines
 
     def _headers(self, engine: Engine, request: str, number: int = 0) -> list[tuple[str, str]]:
         return [
@@ -145,7 +145,7 @@
 
     # Places.
 
-    def hold(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
+    def reserve(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
         """Ask a writer for a place; ``answer`` is called unless it can't be heard or is no longer wanted."""
         asked = _Hold(server, number)
         with self._hold_lock:
@@ -163,7 +163,7 @@
         heard: bool | None = None
         if engine is not None and engine.kind.hold:
             try:
-                heard = self._post(engine, protocol.HOLD, request, asked.number, {"request_id": request}) in (
+                heard = self._post(engine, protocol.RESERVE_PATH, request, asked.number, {"request_id": request}) in (
                     200,
                     202,
                     204,
@@ -179,13 +179,13 @@
         elif heard is not None:
             answer(heard)
 
-    def past(self, request: str) -> None:
+    def cancel_reservation(self, request: str) -> None:
         """The request goes to a writer now: a place not asked for yet is not, one asked for and not answered yet may
         come too late to be used and is let go of after its answer."""
         with self._hold_lock:
             if (asked := self._drop_hold(request)) is not None:
                 asked.then = lambda: self._releasing.add(
-                    [Item(request, asked.server, asked.number, None, self._clock())]
+                    [PendingRelease(request, asked.server, asked.number, None, self._clock())]
                 )
 
     def _drop_hold(self, request: str) -> _Hold | None:
@@ -202,9 +202,9 @@
     def release(self, request: str, reader: str, state: dict[str, Any] | None, place: str, number: int) -> None:
         """Let go of a state and a place, with repeats."""
         now = self._clock()
-        items = [Item(request, reader, number, state or {}, now)] if reader else []
+        items = [PendingRelease(request, reader, number, state or {}, now)] if reader else []
         if place:
-            let_go = Item(request, place, number, None, now)
+            let_go = PendingRelease(request, place, number, None, now)
             with self._hold_lock:
                 asked = self._drop_hold(request)
                 if asked is not None and asked.server == place:
@@ -213,15 +213,15 @@
                     items.append(let_go)
         self._releasing.add(items)
 
-    def _release(self, item: Item) -> Heard:
+    def _release(self, item: PendingRelease) -> ReleaseResult:
         engine = self._find(item.server)
         if engine is None or not engine.kind.release:
-            return Heard.DONE  # gone with all it held, or lets go by its own time-out
-        body: dict[str, Any] = {"request_id": item.request, "attempt": item.number}
+            return ReleaseResult.DONE  # gone with all it held, or lets go by its own time-out
+        body: dict[str, Any] = {"request_id": item.request, "attempt": item.attempt}
         if item.state is not None:
             body["kv_transfer_params"] = item.state
         try:
-            status = self._post(engine, protocol.RELEASE, item.request, item.number, body)
+            status = self._post(engine, protocol.RELEASE_PATH, item.request, item.attempt, body)
         except CallFailed:
-            return Heard.AWAY if self._listed(item.server) else Heard.GONE
-        return Heard.DONE if status in (200, 202, 204, 404) else Heard.AGAIN
+            return ReleaseResult.UNREACHABLE if self._listed(item.server) else ReleaseResult.DELISTED
+        return ReleaseResult.DONE if status in (200, 202, 204, 404) else ReleaseResult.RETRY
--- a/stonetrack/engines/client.py
+++ b/stonetrack/engines/client.py
@@ -10,8 +10,8 @@
 from stonetrack.engines import protocol
 from stonetrack.engines.attempt import SocketAttempt
 from stonetrack.engines.background_calls import BackgroundCalls
-from stonetrack.engines.listing import Engine
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
+from stonetrack.engines.server_list import Engine
 from stonetrack.node.ports import Ask, Attempt, Over
 from stonetrack.node.sockets import MachineShort, reset
 from stonetrack.settings import Node
@@ -38,8 +38,8 @@
         self._limits = http1.Limits(body=limits.engine_body_bytes)
         self._engines: dict[str, Engine] = {}
         self._listed: frozenset[str] = frozenset()  # of these, those that the list names
-        self.pool = Pool(limits.pool_per_engine, timing.pool_idle_ms / 1000.0,
-                         longest=timing.pool_longest_ms / 1000.0)  # fmt: skip
+        self.pool = ConnectionPool(limits.pool_per_engine, timing.pool_idle_ms / 1000.0,
+                         max_idle_timeout=timing.pool_longest_ms / 1000.0)  # fmt: skip
         self.background = BackgroundCalls(
             self._engines_get,
             clock,
@@ -51,14 +51,14 @@
             seed=zlib.crc32(instance.encode()),
         )
 
-    def change(self, settings: Node) -> None:
+    def apply_settings(self, settings: Node) -> None:
         """Go on under other settings; connections and what is under way stay."""
         timing, limits, routing = settings.timing, settings.limits, settings.routing
         self._connect = routing.connect_timeout_ms / 1000.0
         self._confirm = timing.cancel_confirm_ms / 1000.0
         self._limits = http1.Limits(body=limits.engine_body_bytes)
-        self.pool.bound(limits.pool_per_engine, timing.pool_idle_ms / 1000.0, timing.pool_longest_ms / 1000.0)
-        self.background.patience(self._connect)
+        self.pool.set_limits(limits.pool_per_engine, timing.pool_idle_ms / 1000.0, timing.pool_longest_ms / 1000.0)
+        self.background.set_timeout(self._connect)
 
     def _engines_get(self, server: str) -> Engine | None:
         return self._engines.get(server)
@@ -68,7 +68,7 @@
         gone = {name: engine for name, engine in self._engines.items() if name not in engines}
         keep = dict(list(gone.items())[-1_000:])
         self._engines, self._listed = keep | engines, frozenset(engines)
-        self.pool.forget({(e.host, e.port) for e in engines.values()})
+        self.pool.retain({(e.host, e.port) for e in engines.values()})
 
     def start(
         self,
@@ -87,13 +87,13 @@
         if state is not None and role is api.Role.READER:
             state = None
         if role is not api.Role.READER:
-            self.background.past(ask.request)
+            self.background.cancel_reservation(ask.request)
         request = protocol.chat_request(
             ask, role, f"{engine.host}:{engine.port}", number, self._instance, state, place, engine.kind.load_header,
             self._acting_of(ask.request)
         )  # fmt: skip
         try:
-            sock, _ = self.pool.take(engine.host, engine.port, self._connect)
+            sock, _ = self.pool.acquire(engine.host, engine.port, self._connect)
         except MachineShort as error:
             return Over(api.Outcome.NOT_SENT, f"engine {server}: {error}")
         except OSError as error:
@@ -106,7 +106,7 @@
             request,
             protocol.Exchange(role, self._limits),
             self._confirm,
-            lambda back: self.pool.give(engine.host, engine.port, back),
+            lambda back: self.pool.put_back(engine.host, engine.port, back),
         )
         for event in attempt.push():
             if isinstance(event, Over):
@@ -115,7 +115,7 @@
 
     def hold(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
         """See ``ports.Engines.hold``."""
-        self.background.hold(request, server, number, answer)
+        self.background.reserve(request, server, number, answer)
 
     def release(self, request: str, reader: str, state: Any, place: str, number: int, rest: bool) -> None:
         """See ``ports.Engines.release``; these engines let go of each thing by itself."""
@@ -129,16 +129,16 @@
         """See ``ports.Engines.probe``."""
         self.background.probe(server)
 
-    def reach(self, server: str) -> bool:
+    def preconnect(self, server: str) -> bool:
         """Open a connection ahead and keep it for the first request; whether one came about."""
         engine = self._engines.get(server)
         if engine is None:
             return False
         try:
-            sock, _ = self.pool.take(engine.host, engine.port, self._connect)
+            sock, _ = self.pool.acquire(engine.host, engine.port, self._connect)
         except OSError:
             return False
-        self.pool.give(engine.host, engine.port, sock)
+        self.pool.put_back(engine.host, engine.port, sock)
         return True
 
     def close(self, wait: float = 1.0) -> None:
--- a/stonetrack/engines/hints.py
+++ b/stonetrack/engines/failure_hints.py
@@ -10,20 +10,20 @@
 
 from collections.abc import Callable, Mapping
 
-from stonetrack.engines.listing import Line
+from stonetrack.engines.server_list import EngineEntry
 
 SECOND = 1_000_000_000
-YOUNG = 30 * SECOND  # since the engine began to fail
+MAX_AGE = 30 * SECOND  # since the engine began to fail
 
 
-class Hints:
+class FailureHints:
     """Which hints count.  ``good_at`` tells when this node last had a good outcome at an engine, on ``now``'s clock."""
 
     def __init__(self, good_at: Callable[[str], int]) -> None:
         self._good_at = good_at
         self._heard: dict[str, float] = {}
 
-    def take(self, lines: Mapping[str, Line], now: int) -> list[str]:
+    def select(self, lines: Mapping[str, EngineEntry], now: int) -> list[str]:
         """The engines of a list that a hint counts against now."""
         count = []
         for name, line in lines.items():
@@ -34,9 +34,9 @@
 
     def _counts(self, name: str, failing: float, now: int) -> bool:
         since = int(failing * SECOND)
-        return now - since <= YOUNG and self._good_at(name) <= since
+        return now - since <= MAX_AGE and self._good_at(name) <= since
 
 
-def good_at_of(servers: Callable[[], Mapping[str, object]]) -> Callable[[str], int]:
+def last_success_lookup(servers: Callable[[], Mapping[str, object]]) -> Callable[[str], int]:
     """When a router last had a good outcome at a server, from its table; 0 for one that it does not know."""
     return lambda name: int(getattr(servers().get(name), "good_at", 0))
--- a/stonetrack/engines/keeping.py
+++ b/stonetrack/engines/idle_timeouts.py
@@ -31,46 +31,46 @@
     at: float = 0.0  # when that was
 
 
-class Keeping:
+class IdleTimeouts:
     """Seconds of rest, by engine; ``usual`` is good for every engine, ``most`` bounds what is learned."""
 
     def __init__(self, usual: float, most: float) -> None:
-        self.usual, self.most = usual, max(usual, most)
+        self.default, self.maximum = usual, max(usual, most)
         self._seen: dict[Address, _Seen] = {}
 
     @property
-    def learns(self) -> bool:
+    def adaptive(self) -> bool:
         """Whether there is anything to learn."""
-        return self.most > self.usual
+        return self.maximum > self.default
 
-    def left_open(self, address: Address, rest: float) -> None:
+    def observe_open(self, address: Address, rest: float) -> None:
         """A connection that has rested for so long is open."""
         seen = self._seen.setdefault(address, _Seen())
         seen.open = max(seen.open, rest)
 
-    def found_closed(self, address: Address, rest: float, now: float) -> None:
+    def observe_closed(self, address: Address, rest: float, now: float) -> None:
         """A connection was found closed by its engine after so long a rest."""
         seen = self._seen.setdefault(address, _Seen())
-        if rest <= self.usual:
+        if rest <= self.default:
             return
         if not self._closed(seen, now) or rest < seen.closed:
             seen.closed, seen.at = rest, now
         seen.open = min(seen.open, rest)
 
-    def usable(self, address: Address, now: float) -> float:
+    def reuse_limit(self, address: Address, now: float) -> float:
         """For how long a rest a connection may be used again."""
         seen = self._seen.get(address)
         if seen is None:
-            return self.usual
+            return self.default
         learned = SHARE * seen.open
         if closed := self._closed(seen, now):
             learned = min(learned, SHARE * closed)
-        return min(self.most, max(self.usual, learned))
+        return min(self.maximum, max(self.default, learned))
 
     @staticmethod
     def _closed(seen: _Seen, now: float) -> float:
         return seen.closed if seen.closed and now - seen.at < FORGET else 0.0
 
-    def forget(self, keep: set[Address]) -> None:
+    def retain(self, keep: set[Address]) -> None:
         """Other addresses are gone."""
         self._seen = {address: seen for address, seen in self._seen.items() if address in keep}
--- a/stonetrack/engines/sources.py
+++ b/stonetrack/engines/list_source.py
@@ -20,7 +20,7 @@
 from stonetrack.bootstrap.steps import Pace, Steps
 from stonetrack.durable import save
 from stonetrack.engines.calls import CallFailed, exchange
-from stonetrack.engines.listing import Document, Engine, ListError, Listing, read
+from stonetrack.engines.server_list import Engine, ListDocument, ListError, ServerListState, parse_document
 from stonetrack.settings.schema import Source
 from stonetrack.wire import http1, writer
 
@@ -30,7 +30,7 @@
 OVER = 5.0  # seconds that an answer may take over the poll's time
 
 
-def stamp(path: Path) -> tuple[int, int, int]:
+def file_signature(path: Path) -> tuple[int, int, int]:
     """What changes when a file is written anew.  Raises OSError."""
     status = path.stat()
     return status.st_mtime_ns, status.st_size, status.st_ino
@@ -48,33 +48,33 @@
     def __init__(
         self,
         source: Source,
-        listing: Listing,
+        listing: ServerListState,
         clock: Callable[[], int],
         *,
         instance: str,
         saved: Path | None,
-        take: Callable[[api.ServerList, dict[str, Engine]], None],
+        on_list: Callable[[api.ServerList, dict[str, Engine]], None],
         log: Callable[[str], None],
-        found: Callable[[dict[str, str], int], bool] = lambda up, age: True,
-        confirmed: Callable[[dict[str, str]], None] = lambda up: None,
+        may_use_saved: Callable[[dict[str, str], int], bool] = lambda up, age: True,
+        on_confirmed: Callable[[dict[str, str]], None] = lambda up: None,
         nodes: int = 1,
-        draw: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._source, self._listing, self._clock = source, listing, clock
-        self._instance, self._saved, self._take, self._log = instance, saved, take, log
-        self._found, self._confirmed = found, confirmed
+        self._instance, self._saved, self._take, self._log = instance, saved, on_list, log
+        self._found, self._confirmed = may_use_saved, on_confirmed
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, name="server-list", daemon=True)
         self._seen: tuple[int, int, int] | None = None
         self._error = ""
         self._saved_at = 0
         terms = Terms(nodes, source.lists_per_second, source.wait_ms * MS, source.poll_ms * MS)
-        self._terms, self._draw = terms, draw or random.Random()
+        self._terms, self._draw = terms, rng or random.Random()
         self.holding = Holding()
         self.steps = Steps(Pace(source.step_share, source.step_ms * MS, source.gone_share))
         self._lock = threading.Lock()  # of the steps, and of the order in which events go out
         self._stepping = False
-        self.asked: Counter[str] = Counter()  # questions by how they ended
+        self.poll_results: Counter[str] = Counter()  # questions by how they ended
 
     def start(self) -> None:
         """Take the saved list at once, where it may be acted on, then follow the source."""
@@ -90,11 +90,11 @@
         self._stop.set()
 
     def _restore(self, data: bytes) -> None:
-        document, now = read(data), self._clock()
-        trial = Listing(self._listing.kinds)
+        document, now = parse_document(data), self._clock()
+        trial = ServerListState(self._listing.kinds)
         event = trial.apply(document, now, saved=True)
         age = now - int(document.confirmed * SECOND)
-        entries = trial.entries()
+        entries = trial.router_entries()
         acted = self._found(self._up(entries), age)
         self._listing.adopt(trial, acted)  # changes are asked for on top of it, acted on or not
         if acted:
@@ -106,7 +106,7 @@
         if not self._source.file and document.origin:  # a history without a name may have been begun anew
             self.holding.restore(document.origin, document.version)
 
-    def _accept(self, document: Document) -> None:
+    def _accept(self, document: ListDocument) -> None:
         now = self._clock()
         event = self._listing.apply(document, now)
         told = frozenset(line.name for line in document.engines if line.state is not api.ServerState.UP)
@@ -117,9 +117,9 @@
     def _bring(self, event: api.ServerList | None, told: frozenset[str], now: int) -> None:
         """Bring the listing into force, in steps where it must be; ``event`` says what changed, None for all."""
         with self._lock:
-            plain = self._listing.acted and not self.steps.under_way
-            self.steps.aim(self._listing.entries(), told, now)
-            self._listing.acted = True
+            plain = self._listing.notified and not self.steps.under_way
+            self.steps.aim(self._listing.router_entries(), told, now)
+            self._listing.notified = True
             if event is not None and plain and not self.steps.under_way:
                 self._take(event, dict(self._listing.engines))
             else:
@@ -166,11 +166,11 @@
         if self._saved is not None and (write or now - self._saved_at > SAVE_EVERY):
             self._saved_at = now
             with contextlib.suppress(OSError):
-                save(self._saved, self._listing.saved(now / SECOND))
+                save(self._saved, self._listing.to_json(now / SECOND))
 
     def _stands(self) -> None:
         """The service says that the listing still holds."""
-        if not self._listing.acted:  # a saved list that was too old to act on by itself
+        if not self._listing.notified:  # a saved list that was too old to act on by itself
             self._bring(None, frozenset(), self._clock())
         self._told()
 
@@ -203,9 +203,9 @@
 
     def _file(self) -> None:
         path = Path(self._source.file)
-        seen = stamp(path)
+        seen = file_signature(path)
         if seen != self._seen:
-            self._accept(read(path.read_bytes()))
+            self._accept(parse_document(path.read_bytes()))
             self._seen = seen
 
     # A service.
@@ -229,7 +229,7 @@
             except Exception as error:  # a list must never end the thread that follows it
                 how = Ended.UNFIT
                 self._trouble(f"server list: {type(error).__name__}: {error}")
-            self.asked[how.value] += 1
+            self.poll_results[how.value] += 1
             asker.ended(self._clock(), how, retry_after)
 
     def _question(self, after: int, origin: str, wait: int) -> tuple[Ended, float | None]:
@@ -246,7 +246,7 @@
         if self._stop.is_set():
             return Ended.UNCHANGED, None
         if head.status == 200:
-            return self._document(read(body)), None
+            return self._document(parse_document(body)), None
         if head.status == 204:
             self.holding.confirmed()
             if self.holding.version >= 0:
@@ -257,7 +257,7 @@
             return Ended.TURNED_AWAY, _seconds(head.headers.get("retry-after"))
         return Ended.FAILED, None
 
-    def _document(self, document: Document) -> Ended:
+    def _document(self, document: ListDocument) -> Ended:
         base = document.after if document.kind == "changes" else -1
         marks = Stamp(document.origin, document.version, base)
         choice = self.holding.judge(marks, self._clock())
--- a/stonetrack/engines/pool.py
+++ b/stonetrack/engines/pool.py
@@ -12,40 +12,42 @@
 import time
 from collections import deque
 
-from stonetrack.engines.keeping import Keeping
-from stonetrack.engines.reuse import Rest
+from stonetrack.engines.idle_timeouts import IdleTimeouts
+from stonetrack.engines.reuse_delay import ReuseDelay
 from stonetrack.node.sockets import MachineShort, close, connect, readable
 
-LOOK = 0.5  # seconds from one look at all idle connections to the next
+INSPECT_INTERVAL_S = 0.5  # seconds from one look at all idle connections to the next
 
 
-class Pool:
-    """Idle connections by address; bounded for each address, in all (``most``) and in age.
+class ConnectionPool:
+    """Idle connections by address; bounded for each address, in all (``max_total``) and in age.
 
-    The newest is used first, so that what is not needed grows old; where kept connections fail (:mod:`.reuse`), the
-    oldest, if it has rested for long enough.  ``idle`` seconds of rest are good for all engines, up to ``longest``
-    where an engine is seen to leave connections open (:mod:`.keeping`).
+    The newest is used first, so that what is not needed grows old; where kept connections fail (:mod:`.reuse_delay`),
+    the oldest, if it has rested for long enough.  ``idle`` seconds of rest are good for all engines, up to ``longest``
+    where an engine is seen to leave connections open (:mod:`.idle_timeouts`).
     """
 
-    def __init__(self, per_engine: int, idle: float, most: int = 1 << 30, longest: float = 0.0) -> None:
-        self._per_engine, self._most = per_engine, most
-        self.keeping = Keeping(idle, longest)
+    def __init__(
+        self, per_engine: int, idle_timeout: float, max_total: int = 1 << 30, max_idle_timeout: float = 0.0
+    ) -> None:
+        self._per_engine, self._most = per_engine, max_total
+        self.idle_timeouts = IdleTimeouts(idle_timeout, max_idle_timeout)
         self._looked = time.monotonic()
         self._count = 0
-        self.rest = Rest()
+        self.reuse_delay = ReuseDelay()
         self._lock = threading.Lock()
         self._kept: dict[tuple[str, int], deque[tuple[socket.socket, float]]] = {}
         self._heard: dict[tuple[str, int], float] = {}  # when an answer was last read to its end, by address
         self.opened = 0
         self.reused = 0
 
-    def bound(self, per_engine: int, idle: float, longest: float) -> None:
+    def set_limits(self, per_engine: int, idle_timeout: float, max_idle_timeout: float) -> None:
         """Other bounds from here on; what was learned of engines stays."""
         with self._lock:
             self._per_engine = per_engine
-            self.keeping.usual, self.keeping.most = idle, max(idle, longest)
+            self.idle_timeouts.default, self.idle_timeouts.maximum = idle_timeout, max(idle_timeout, max_idle_timeout)
 
-    def take(self, host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
+    def acquire(self, host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
         """A connection and for how many seconds it was kept, None for a new one.
 
         Raises OSError where none is had: MachineShort where that is not the engine's fault.
@@ -53,10 +55,10 @@
         while True:
             with self._lock:
                 now, kept = time.monotonic(), self._kept.get((host, port))
-                usable = self.keeping.usable((host, port), now)
+                usable = self.idle_timeouts.reuse_limit((host, port), now)
                 sock, since = None, 0.0
-                if kept and not (needed := self.rest.needed(now)):
-                    if now - kept[-1][1] <= usable or not self.keeping.learns:
+                if kept and not (needed := self.reuse_delay.required(now)):
+                    if now - kept[-1][1] <= usable or not self.idle_timeouts.adaptive:
                         sock, since = kept.pop()
                 elif kept and now - kept[0][1] >= needed:
                     sock, since = kept.popleft()
@@ -94,7 +96,7 @@
             close(sock)
         return sock is not None
 
-    def give(self, host: str, port: int, sock: socket.socket) -> None:
+    def put_back(self, host: str, port: int, sock: socket.socket) -> None:
         """Keep a connection whose last answer was read to its end."""
         now = time.monotonic()
         with self._lock:
@@ -106,7 +108,7 @@
             if self._count > self._most:  # the longest idle of all goes first
                 oldest = min((each for each in self._kept.values() if each), key=lambda each: each[0][1])
                 stale.append(self._oldest(oldest))
-            look = self.keeping.learns and now - self._looked >= LOOK
+            look = self.idle_timeouts.adaptive and now - self._looked >= INSPECT_INTERVAL_S
             if look:
                 self._looked = now
         for each in stale:
@@ -115,12 +117,12 @@
             self.prune()
 
     def _learn(self, address: tuple[str, int], age: float, open_still: bool, now: float) -> None:
-        if self.keeping.learns:
+        if self.idle_timeouts.adaptive:
             with self._lock:
                 if open_still:
-                    self.keeping.left_open(address, age)
+                    self.idle_timeouts.observe_open(address, age)
                 else:
-                    self.keeping.found_closed(address, age, now)
+                    self.idle_timeouts.observe_closed(address, age, now)
 
     def _oldest(self, kept: deque[tuple[socket.socket, float]]) -> socket.socket:
         self._count -= 1
@@ -129,21 +131,21 @@
     def _stale(self, kept: deque[tuple[socket.socket, float]], now: float) -> list[socket.socket]:
         """What is too many or too old among an address's, taken out.  Under the lock."""
         stale = []
-        while kept and (len(kept) > self._per_engine or now - kept[0][1] > self.keeping.most):
+        while kept and (len(kept) > self._per_engine or now - kept[0][1] > self.idle_timeouts.maximum):
             stale.append(self._oldest(kept))
         return stale
 
-    def unanswered(self, age: float | None) -> None:
+    def record_unanswered(self, age: float | None) -> None:
         """A request was reset before a byte of an answer; ``age`` as :meth:`take` gave it."""
         if age is not None:
             with self._lock:
-                self.rest.unanswered(time.monotonic(), age)
+                self.reuse_delay.record_unanswered(time.monotonic(), age)
 
-    def kept(self, host: str, port: int) -> int:
+    def idle_count(self, host: str, port: int) -> int:
         """Idle connections to an address."""
         return len(self._kept.get((host, port), ()))
 
-    def heard(self, host: str, port: int) -> float:
+    def last_response_at(self, host: str, port: int) -> float:
         """Monotonic time in seconds at which an answer of this address was last read to its end; 0 for never."""
         return self._heard.get((host, port), 0.0)
 
@@ -152,7 +154,7 @@
         now = time.monotonic()
         with self._lock:
             stale = [sock for kept in self._kept.values() for sock in self._stale(kept, now)]
-            if self.keeping.learns:
+            if self.idle_timeouts.adaptive:
                 stale += [sock for address, kept in self._kept.items() for sock in self._look(address, kept, now)]
         for each in stale:
             close(each)
@@ -163,21 +165,21 @@
         """Learn from what is past the time for use; what is closed or not needed for that is taken out, locked."""
         gone = []
         while kept and readable(kept[0][0]):
-            self.keeping.found_closed(address, now - kept[0][1], now)
+            self.idle_timeouts.observe_closed(address, now - kept[0][1], now)
             gone.append(self._oldest(kept))
-        usable = self.keeping.usable(address, now)
+        usable = self.idle_timeouts.reuse_limit(address, now)
         while len(kept) > 1 and now - kept[1][1] > usable:  # one is enough to see what the engine does
             gone.append(kept[1][0])
             del kept[1]
             self._count -= 1
         if kept:
-            self.keeping.left_open(address, now - kept[0][1])
+            self.idle_timeouts.observe_open(address, now - kept[0][1])
         return gone
 
-    def forget(self, keep: set[tuple[str, int]]) -> None:
+    def retain(self, keep: set[tuple[str, int]]) -> None:
         """Close what goes to other addresses."""
         with self._lock:
-            self.keeping.forget(keep)
+            self.idle_timeouts.retain(keep)
             self._heard = {address: at for address, at in self._heard.items() if address in keep}
             gone = [address for address in self._kept if address not in keep]
             stale = [sock for address in gone for sock, _ in self._kept.pop(address)]
@@ -187,4 +189,4 @@
 
     def close(self) -> None:
         """Close all."""
-        self.forget(set())
+        self.retain(set())
--- a/stonetrack/engines/protocol.py
+++ b/stonetrack/engines/protocol.py
@@ -31,9 +31,9 @@
 from stonetrack.wire import http1, sse, writer
 from stonetrack.wire.errors import ProtocolError
 
-CHAT = "/v1/chat/completions"
-HOLD = "/v1/kv/hold"
-RELEASE = "/v1/kv/release"
+CHAT_PATH = "/v1/chat/completions"
+RESERVE_PATH = "/v1/kv/hold"
+RELEASE_PATH = "/v1/kv/release"
 STATE_MISSING = "kv_state_missing"
 _AT_FAULT = frozenset({400, 413, 422})
 _ERROR_BODY = 65_536
@@ -93,7 +93,7 @@
         headers.append(("X-Stonetrack-Acting", acting))
     if place:
         headers.append(("X-Held-Place", ask.request))
-    return writer.request("POST", CHAT, headers, _encode(body))
+    return writer.request("POST", CHAT_PATH, headers, _encode(body))
 
 
 class Exchange:
@@ -108,29 +108,29 @@
         "_reader",
         "_role",
         "_sse",
-        "began",
+        "started",
         "limit",
         "reusable",
-        "seen",
+        "received",
     )
 
     def __init__(self, role: Role, limits: http1.Limits) -> None:
         self._reader = http1.MessageReader(http1.Side.RESPONSES, limits)
         self._role = role
         self._head: http1.ResponseHead | None = None
-        self._sse: sse.EventStream | None = None
+        self._sse: sse.EventStreamReader | None = None
         self._body = bytearray()
         self._over = False
         self._done = False
         self._error_event = ""
         self.limit = limits.body
-        self.began = False
+        self.started = False
         self.reusable = False  # whether the connection may carry another request
-        self.seen = False  # whether any byte of an answer came
+        self.received = False  # whether any byte of an answer came
 
     def feed(self, data: bytes) -> list[AttemptEvent]:
         """What these bytes tell."""
-        self.seen = True
+        self.received = True
         events: list[AttemptEvent] = []
         try:
             for event in self._reader.feed(data):
@@ -148,7 +148,7 @@
         except ProtocolError:
             pass
         if not self._over:
-            where = "within its answer" if self.seen else "before any answer"
+            where = "within its answer" if self.received else "before any answer"
             self._end(Outcome.RESET, events, why=f"the engine closed {where}")
         return events
 
@@ -160,7 +160,7 @@
         return events
 
     @property
-    def settled(self) -> bool:
+    def fully_read(self) -> bool:
         """Whether the answer's last byte has come, after its outcome was given."""
         return self._reader.idle
 
@@ -187,7 +187,7 @@
                         Outcome.ERROR, events, why=f"the engine answered {kind or 'no type'}, not an event stream"
                     )
                     return
-                self._sse = sse.EventStream()
+                self._sse = sse.EventStreamReader()
         elif isinstance(event, http1.Data):
             if self._sse is not None:
                 for sent in self._sse.feed(event.data):
@@ -197,11 +197,11 @@
         elif isinstance(event, http1.End) and self._head is not None and not self._over:
             self._whole(self._head, events)
 
-    def _event(self, sent: sse.ServerSent, events: list[AttemptEvent]) -> None:
+    def _event(self, sent: sse.ServerSentEvent, events: list[AttemptEvent]) -> None:
         if self._over:
             return
         if sent.data == b"[DONE]":
-            if self.began:
+            if self.started:
                 self._end(Outcome.SERVED, events)
             else:
                 self._end(Outcome.ERROR, events, why="the engine's stream ended without an answer")
@@ -215,8 +215,8 @@
             return
         choices, usage = raw.get("choices"), raw.get("usage")
         if type(choices) is list and "error" not in raw and all(map(_is_object, choices)):
-            if not self.began:
-                self.began = True
+            if not self.started:
+                self.started = True
                 events.append(Began())
             extra = {k: raw[k] for k in _EXTRA if k in raw} if len(raw) > 5 else {}
             events.append(Choices(choices, usage if type(usage) is dict else None, extra))
--- a/stonetrack/engines/releasing.py
+++ b/stonetrack/engines/release_workers.py
@@ -1,4 +1,4 @@
-"""The threads that carry out a book of releases (:mod:`.releases` says when), apart from what a release is."""
+"""The threads that carry out a book of releases (:mod:`.release_queue` says when), apart from what a release is."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 import time
 from collections.abc import Callable
 
-from stonetrack.engines.releases import Heard, Item, ReleaseBook
+from stonetrack.engines.release_queue import PendingRelease, ReleaseQueue, ReleaseResult
 from stonetrack.node.threads import lasting
 
 SECOND = 1e9
 
 
-class Releasing:
+class ReleaseWorkers:
     """Calls ``release`` for what is due, again where it was not done; one thread stays free of engines that are away.
 
     ``over`` is told of what will not be tried again: under the lock, and so it must not wait.
@@ -23,13 +23,13 @@
         clock: Callable[[], int],
         within: int,
         threads: int,
-        release: Callable[[Item], Heard],
-        over: Callable[[int, Item], None] = lambda number, item: None,
+        release: Callable[[PendingRelease], ReleaseResult],
+        over: Callable[[int, PendingRelease], None] = lambda number, item: None,
         seed: int = 0,
         log: Callable[[str], None] = lambda text: None,
     ) -> None:
         self._clock, self._release, self._over, self._log = clock, release, over, log
-        self.book = ReleaseBook(within, most_away=max(1, threads - 1), seed=seed)
+        self.queue = ReleaseQueue(within, max_unreachable_tries=max(1, threads - 1), seed=seed)
         self.changed = threading.Condition(threading.Lock())  # guards the book; told of every change
         self._stopping = False
         self._threads = [lasting(f"releases-{n}", self._run, log) for n in range(threads)]
@@ -40,16 +40,16 @@
             thread.start()
 
     def __len__(self) -> int:
-        return len(self.book)
+        return len(self.queue)
 
-    def add(self, items: list[Item]) -> None:
+    def add(self, items: list[PendingRelease]) -> None:
         """Note releases; they are due at once."""
         with self.changed:
             for item in items:
-                self.book.add(item)
+                self.queue.add(item)
             self.changed.notify_all()
 
-    def settle(self, done: Callable[[], bool], seconds: float) -> bool:
+    def wait_until(self, done: Callable[[], bool], seconds: float) -> bool:
         """Wait under the lock, which the caller holds, until ``done`` or for so many seconds; whether it is done."""
         end = time.monotonic() + seconds
         while not (so := done()) and (left := end - time.monotonic()) > 0:
@@ -59,25 +59,25 @@
     def stop(self, wait: float) -> None:
         """Let open releases end for so many seconds, then stop."""
         with self.changed:
-            self.settle(lambda: not self.book, wait)
+            self.wait_until(lambda: not self.queue, wait)
             self._stopping = True
             self.changed.notify_all()
 
     def _run(self) -> None:
         while True:
             with self.changed:
-                while (found := self.book.due(self._clock())) is None:
+                while (found := self.queue.take_due(self._clock())) is None:
                     if self._stopping:
                         return
-                    at = self.book.next_at()
+                    at = self.queue.next_due()
                     self.changed.wait(None if at is None else max(0.001, (at - self._clock()) / SECOND))
             number, item = found
             try:
                 heard = self._release(item)
             except Exception as error:  # the release is owed all the same
                 self._log(f"release of {item.request}: {type(error).__name__}: {error}")
-                heard = Heard.AGAIN
+                heard = ReleaseResult.RETRY
             with self.changed:
-                if not self.book.told(number, heard, self._clock()):
+                if not self.queue.record_result(number, heard, self._clock()):
                     self._over(number, item)
                 self.changed.notify_all()
--- a/stonetrack/engines/reuse.py
+++ b/stonetrack/engines/reuse_delay.py
@@ -20,18 +20,18 @@
 _KEPT = 16
 
 
-class Rest:
+class ReuseDelay:
     """What requests on kept connections came to."""
 
     def __init__(self) -> None:
         self._failed: deque[tuple[float, float]] = deque(maxlen=_KEPT)  # when, after how long a rest
 
-    def unanswered(self, now: float, age: float) -> None:
+    def record_unanswered(self, now: float, age: float) -> None:
         """A request on a connection that had rested for ``age`` seconds was reset before a byte of an answer."""
         if age <= MOST:
             self._failed.append((now, age))
 
-    def needed(self, now: float) -> float:
+    def required(self, now: float) -> float:
         """Seconds that a connection must have rested; 0 while there is no cause."""
         if not self._failed:
             return 0.0
--- a/stonetrack/engines/listing.py
+++ b/stonetrack/engines/server_list.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from stonetrack import api
-from stonetrack.engines.starts import Starts
+from stonetrack.engines.start_times import StartTimes
 from stonetrack.settings.schema import Kind
 
 SECOND = 1_000_000_000
@@ -38,7 +38,7 @@
     return host.strip("[]"), int(port)
 
 
-class Line(msgspec.Struct, frozen=True):
+class EngineEntry(msgspec.Struct, frozen=True):
     """One engine as a document gives it."""
 
     name: str
@@ -52,10 +52,10 @@
     failing: float = 0.0  # since when the steward can't reach it, Unix time in seconds; 0: it can, or nobody checks
 
 
-class Document(msgspec.Struct, frozen=True):
+class ListDocument(msgspec.Struct, frozen=True):
     """One list, or changes to it."""
 
-    engines: tuple[Line, ...]
+    engines: tuple[EngineEntry, ...]
     version: int = 0
     kind: str = "full"
     origin: str = ""
@@ -63,10 +63,10 @@
     confirmed: float = 0.0  # saved: when the service last said that it holds, Unix time in seconds
 
 
-def read(data: bytes) -> Document:
+def parse_document(data: bytes) -> ListDocument:
     """A document's types checked, its engines not yet.  Raises ListError."""
     try:
-        document = msgspec.json.decode(data, type=Document)
+        document = msgspec.json.decode(data, type=ListDocument)
     except (msgspec.DecodeError, RecursionError) as error:
         raise ListError(f"server list: {error}") from None
     if document.kind not in ("full", "changes"):
@@ -86,72 +86,72 @@
     kind: Kind
 
 
-class Listing:
+class ServerListState:
     """The list as last taken."""
 
     def __init__(self, kinds: tuple[Kind, ...]) -> None:
         self.kinds = kinds
-        self.acted = False  # whether the router was told of it
+        self.notified = False  # whether the router was told of it
         self._kinds = {kind.name: (n, kind) for n, kind in enumerate(kinds)}
         self._numbers: dict[str, int] = {}  # of cells and zones given by name
-        self.lines: dict[str, Line] = {}
+        self.entries: dict[str, EngineEntry] = {}
         self.engines: dict[str, Engine] = {}
         self.started: dict[str, int] = {}  # on the node's clock, by name
-        self._starts = Starts()
+        self._starts = StartTimes()
         self.version = -1
         self.origin = ""
 
-    def take(self, data: bytes, now: int, saved: bool = False) -> api.ServerList:
+    def apply_json(self, data: bytes, now: int, saved: bool = False) -> api.ServerList:
         """The event of a document; ``now`` in nanoseconds of Unix time.  Raises ListError, changing nothing."""
-        return self.apply(read(data), now, saved)
+        return self.apply(parse_document(data), now, saved)
 
-    def apply(self, document: Document, now: int, saved: bool = False) -> api.ServerList:
-        """The event of a document that :func:`read` gave.  Raises ListError, changing nothing."""
-        lines: dict[str, Line] = {}
+    def apply(self, document: ListDocument, now: int, saved: bool = False) -> api.ServerList:
+        """The event of a document that :func:`parse_document` gave.  Raises ListError, changing nothing."""
+        lines: dict[str, EngineEntry] = {}
         engines: dict[str, Engine] = {}
         for n, line in enumerate(document.engines):
             if line.name in lines:
                 raise ListError(f"server list: engines[{n}]: {line.name!r} stands twice")
             engines[line.name] = self._engine(n, line)
-            before = self.lines.get(line.name)
+            before = self.entries.get(line.name)
             if before is not None and before.address != line.address and before.started == line.started:
                 line = msgspec.structs.replace(line, started=now / SECOND)
             lines[line.name] = line
         if document.kind == "full":
-            self.lines, self.engines = lines, engines
+            self.entries, self.engines = lines, engines
         else:
-            self.lines, self.engines = self.lines | lines, self.engines | engines
+            self.entries, self.engines = self.entries | lines, self.engines | engines
         kind = api.ListKind.SAVED if saved else api.ListKind[document.kind.upper()]
         heard = self.version >= 0 and not saved
         for line in lines.values():
             self.started[line.name] = self._starts.on_node_clock(line.name, int(line.started * SECOND), now, heard)
         event = api.ServerList(kind, document.version, tuple(self._entry(line) for line in lines.values()))
-        for name in [n for n, line in self.lines.items() if line.state is api.ServerState.REMOVED]:
-            del self.lines[name], self.engines[name]
-        self.started = {name: at for name, at in self.started.items() if name in self.lines}
+        for name in [n for n, line in self.entries.items() if line.state is api.ServerState.REMOVED]:
+            del self.entries[name], self.engines[name]
+        self.started = {name: at for name, at in self.started.items() if name in self.entries}
         self.version, self.origin = document.version, document.origin
         return event
 
-    def entries(self) -> dict[str, api.ServerEntry]:
+    def router_entries(self) -> dict[str, api.ServerEntry]:
         """All engines as the router is told of them, by name."""
-        return {name: self._entry(line) for name, line in self.lines.items()}
+        return {name: self._entry(line) for name, line in self.entries.items()}
 
-    def adopt(self, other: Listing, acted: bool) -> None:
+    def adopt(self, other: ServerListState, acted: bool) -> None:
         """Take over what another listing of the same kinds holds."""
-        self.lines, self.engines, self.acted = other.lines, other.engines, acted
+        self.entries, self.engines, self.notified = other.entries, other.engines, acted
         self.version, self.origin, self._numbers = other.version, other.origin, other._numbers
         self.started, self._starts = other.started, other._starts
 
-    def saved(self, confirmed: float = 0.0) -> bytes:
+    def to_json(self, confirmed: float = 0.0) -> bytes:
         """The whole list as a document, for a restart; when the service last said that it holds."""
         return msgspec.json.encode(
-            Document(tuple(self.lines.values()), max(self.version, 0), origin=self.origin, confirmed=confirmed)
+            ListDocument(tuple(self.entries.values()), max(self.version, 0), origin=self.origin, confirmed=confirmed)
         )
 
     def _number(self, value: int | str) -> int:
         return value if isinstance(value, int) else self._numbers.setdefault(value, 1_000_000 + len(self._numbers))
 
-    def _entry(self, line: Line) -> api.ServerEntry:
+    def _entry(self, line: EngineEntry) -> api.ServerEntry:
         return api.ServerEntry(
             line.name,
             self._number(line.zone),
@@ -162,7 +162,7 @@
             self.started[line.name],
         )
 
-    def _engine(self, n: int, line: Line) -> Engine:
+    def _engine(self, n: int, line: EngineEntry) -> Engine:
         at = f"server list: engines[{n}] ({line.name!r})"
         if not line.name or len(line.name) > 200 or not line.name.isprintable():
             raise ListError(f"{at}: name: 1 to 200 printable characters are allowed")
--- a/stonetrack/engines/starts.py
+++ b/stonetrack/engines/start_times.py
@@ -14,10 +14,10 @@
 
 from collections import OrderedDict
 
-MOST = 4_096  # engines remembered, those that left included, which may be listed again
+MAX_ENGINES = 4_096  # engines remembered, those that left included, which may be listed again
 
 
-class Starts:
+class StartTimes:
     """The starts reported so far; times in nanoseconds."""
 
     def __init__(self) -> None:
@@ -32,6 +32,6 @@
             return before[1]
         started = now if after_another_list else min(reported, now)
         self._known[engine] = (reported, started)
-        if len(self._known) > MOST:
+        if len(self._known) > MAX_ENGINES:
             self._known.popitem(last=False)
         return started
--- a/stonetrack/fleet/load.py
+++ b/stonetrack/fleet/load.py
@@ -287,7 +287,7 @@
 
     def _answer(self, planned: Planned, seen: Seen, stream: bool) -> None:
         assert self.sock is not None
-        events = sse.EventStream() if stream else None
+        events = sse.EventStreamReader() if stream else None
         body = bytearray()
         leave_at = seen.sent + self.draw.randrange(1, 60) * MS if planned.behaviour == "leave_early" else 0
         slow = 0
@@ -354,9 +354,9 @@
                 seen.text += content
                 seen.tokens += 1
 
-    def _end(self, seen: Seen, planned: Planned, events: sse.EventStream | None, body: bytes, now: int) -> None:
+    def _end(self, seen: Seen, planned: Planned, events: sse.EventStreamReader | None, body: bytes, now: int) -> None:
         if events is not None:
-            if not events.clean:
+            if not events.between_events:
                 seen.ended = "garbled"
             elif seen.error_events:
                 seen.ended = "broken"
--- a/stonetrack/fleet/platform_client.py
+++ b/stonetrack/fleet/platform_client.py
@@ -60,7 +60,7 @@
             if written:
                 seen.event_late = max(seen.event_late, now - written)
 
-    def _end(self, seen: Seen, planned: Planned, events: sse.EventStream | None, body: bytes, now: int) -> None:
+    def _end(self, seen: Seen, planned: Planned, events: sse.EventStreamReader | None, body: bytes, now: int) -> None:
         if events is not None:
             super()._end(seen, planned, events, body, now)
             return
--- a/stonetrack/frontend/sinks.py
+++ b/stonetrack/frontend/sinks.py
@@ -83,18 +83,18 @@
         self.status = 200
         self.keep = self.keep and not self.connection.last
         fields = [("Content-Type", "text/event-stream; charset=utf-8"), ("Cache-Control", "no-cache"), *self.headers]
-        if self.request.head.chunks and self.keep:
-            self._head = writer.streamed(200, fields)
-        elif self.request.head.chunks:
-            self._head = writer.streamed(200, [*fields, ("Connection", "close")])
+        if self.request.head.accepts_chunked and self.keep:
+            self._head = writer.chunked_head(200, fields)
+        elif self.request.head.accepts_chunked:
+            self._head = writer.chunked_head(200, [*fields, ("Connection", "close")])
         else:
             self.keep = False
-            self._head = writer.response_until_close(200, [*fields, ("Connection", "close")])
+            self._head = writer.close_delimited_head(200, [*fields, ("Connection", "close")])
 
     def event(self, *data: bytes, last: bool = False) -> None:
         """Write events, empty ones left out, and the end of the body after the last."""
         parts = b"".join(sse.encode(each) for each in data if each)
-        if self.request.head.chunks:
+        if self.request.head.accepts_chunked:
             parts = writer.chunk(parts) + (writer.LAST_CHUNK if last else b"")
         if self._head:
             parts, self._head = self._head + parts, b""
--- a/stonetrack/soak/platform.py
+++ b/stonetrack/soak/platform.py
@@ -310,7 +310,7 @@
         trouble = self.trouble
         ahead = b"HTTP/1.1 103 Early Hints\r\n\r\n" if fault == "ahead" or trouble is Trouble.AHEAD else b""
         arrival.first_event = time.monotonic_ns()
-        sock.sendall(ahead + writer.streamed(200, [("Content-Type", "text/event-stream")]))
+        sock.sendall(ahead + writer.chunked_head(200, [("Content-Type", "text/event-stream")]))
         number = 0
         while number < world.events or self.trouble is Trouble.ENDLESS:
             event = {"choices": [{"index": 0, "delta": {"content": str(number)}}], "written_ns": time.monotonic_ns()}
@@ -346,7 +346,7 @@
         while self.silent:
             if closed_within(sock, 0.05):
                 return
-        sock.sendall(writer.streamed(200, [("Content-Type", "application/json")]))
+        sock.sendall(writer.chunked_head(200, [("Content-Type", "application/json")]))
         rev = -1
         while True:
             with self.changed:
--- a/stonetrack/wire/http1.py
+++ b/stonetrack/wire/http1.py
@@ -122,7 +122,7 @@
     headers: Headers
     keep_alive: bool
     length: int | None  # None where it comes in chunks
-    chunks: bool = True  # whether the client understands an answer in chunks (HTTP/1.1)
+    accepts_chunked: bool = True  # whether the client understands an answer in chunks (HTTP/1.1)
 
     @property
     def path(self) -> str:
--- a/stonetrack/wire/sse.py
+++ b/stonetrack/wire/sse.py
@@ -12,14 +12,14 @@
 
 
 @dataclass(slots=True)
-class ServerSent:
+class ServerSentEvent:
     """One event; ``name`` is empty where the stream names none."""
 
     data: bytes
     name: str = ""
 
 
-class EventStream:
+class EventStreamReader:
     """Reads one stream's events."""
 
     __slots__ = ("_buffer", "_data", "_begun", "_limit", "_name", "_size")
@@ -33,11 +33,11 @@
         self._limit = limit
 
     @property
-    def clean(self) -> bool:
+    def between_events(self) -> bool:
         """Whether the stream stands between two events."""
         return not self._buffer.strip(b"\r\n") and not self._data and not self._name
 
-    def feed(self, data: bytes) -> list[ServerSent]:
+    def feed(self, data: bytes) -> list[ServerSentEvent]:
         """The events that these bytes complete.  Raises ProtocolError where one is over the limit."""
         self._buffer += data
         if not self._begun and len(self._buffer) >= 3:
@@ -46,7 +46,7 @@
                 del self._buffer[:3]
         if self._size + len(self._buffer) > self._limit + 2 and b"\n" not in self._buffer:
             raise ProtocolError(f"an event is over {self._limit} bytes")
-        events: list[ServerSent] = []
+        events: list[ServerSentEvent] = []
         end = self._buffer.rfind(b"\n")
         held = end + 1
         if b"\r" in self._buffer:  # a lone CR ends a line too; the last byte may be half a CRLF
@@ -62,7 +62,7 @@
             # The usual case: whole events of one data line each.
             for event in block[:-2].split(b"\n\n"):
                 if event.startswith(b"data: ") and b"\n" not in event and len(event) <= self._limit:
-                    events.append(ServerSent(event[6:]))
+                    events.append(ServerSentEvent(event[6:]))
                 else:
                     for line in event.split(b"\n"):
                         self._take(line, events)
@@ -72,10 +72,10 @@
             self._take(line, events)
         return events
 
-    def _take(self, line: bytes, events: list[ServerSent]) -> None:
+    def _take(self, line: bytes, events: list[ServerSentEvent]) -> None:
         if not line:
             if self._data:
-                events.append(ServerSent(b"\n".join(self._data), self._name))
+                events.append(ServerSentEvent(b"\n".join(self._data), self._name))
             self._data, self._name, self._size = [], "", 0
             return
         name, _, value = line.partition(b":")
--- a/stonetrack/wire/writer.py
+++ b/stonetrack/wire/writer.py
@@ -37,12 +37,12 @@
     return head if head_only else head + body
 
 
-def streamed(status: int, headers: Fields) -> bytes:
+def chunked_head(status: int, headers: Fields) -> bytes:
     """The head of a response in chunks."""
     return _head(f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}", [*headers, ("Transfer-Encoding", "chunked")])
 
 
-def response_until_close(status: int, headers: Fields) -> bytes:
+def close_delimited_head(status: int, headers: Fields) -> bytes:
     """The head of a response that lasts until the connection closes (for HTTP/1.0)."""
     return _head(f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}", headers)
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -171,7 +171,7 @@
         """The events' data of a streamed answer."""
         self.ask(body, **more)
         head, data = self.answer()
-        return head, [event.data for event in sse.EventStream().feed(data)]
+        return head, [event.data for event in sse.EventStreamReader().feed(data)]
 
     def close(self) -> None:
         self.sock.close()
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -16,7 +16,7 @@
 from stonetrack.api import Effect, Outcome, Role
 from stonetrack.edge.abandoned import BLIND, INFORMED, AbandonedReads
 from stonetrack.edge.hosts import Engine
-from stonetrack.engines.releases import Heard, Item
+from stonetrack.engines.release_queue import PendingRelease, ReleaseResult
 from stonetrack.node.invariants import ARRIVING, MS, Ledger
 from stonetrack.node.transitions import Step, Transition
 from stonetrack.soak.latitude import KINDEST, Latitude, Sentence
@@ -36,13 +36,13 @@
     asked: list[str] = field(default_factory=list)  # requests whose engine was asked
     released: list[str] = field(default_factory=list)  # requests released at any engine
 
-    def ask(self, engine: Engine, request: str) -> Heard:
+    def ask(self, engine: Engine, request: str) -> ReleaseResult:
         self.asked.append(request)
-        return Heard.DONE if self.there else Heard.AWAY
+        return ReleaseResult.DONE if self.there else ReleaseResult.UNREACHABLE
 
-    def release(self, item: Item) -> Heard:
+    def release(self, item: PendingRelease) -> ReleaseResult:
         self.released.append(item.request)
-        return Heard.DONE
+        return ReleaseResult.DONE
 
 
 @pytest.fixture
@@ -165,10 +165,10 @@
 def test_releases_of_many_engines_that_come_back_take_no_thread_of_others(book: AbandonedReads, script: Script) -> None:
     entered, go_on = threading.Semaphore(0), threading.Event()
 
-    def stuck(item: Item) -> Heard:
+    def stuck(item: PendingRelease) -> ReleaseResult:
         entered.release()
         go_on.wait(5.0)
-        return Heard.DONE
+        return ReleaseResult.DONE
 
     script.release = stuck  # type: ignore[method-assign]
     book._release = stuck
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -28,8 +28,8 @@
 from stonetrack.controller.settings import load_steward
 from stonetrack.election.fence import HEADER, Refused, Token
 from stonetrack.engines import calls
-from stonetrack.engines.hints import Hints
-from stonetrack.engines.listing import Line
+from stonetrack.engines.failure_hints import FailureHints
+from stonetrack.engines.server_list import EngineEntry
 from stonetrack.fleet import owners
 from stonetrack.fleet.processes import address_of, program
 from stonetrack.fleet.rig import LISTS_LOG, Played, play
@@ -127,19 +127,19 @@
 
 def test_a_hint_counts_once_while_it_is_young_and_not_against_what_the_node_saw_later() -> None:
     good = {"r0": 0, "r1": 0}
-    hints = Hints(lambda name: good[name])
+    hints = FailureHints(lambda name: good[name])
 
-    def listed(**failing: float) -> dict[str, Line]:
-        return {n: Line(n, "127.0.0.1:9", "reader", failing=f) for n, f in failing.items()}
+    def listed(**failing: float) -> dict[str, EngineEntry]:
+        return {n: EngineEntry(n, "127.0.0.1:9", "reader", failing=f) for n, f in failing.items()}
 
     second = 1_000_000_000
-    assert hints.take(listed(r0=0.0, r1=0.0), 100 * second) == []
-    assert hints.take(listed(r0=99.0, r1=0.0), 100 * second) == ["r0"]
-    assert hints.take(listed(r0=99.0, r1=0.0), 101 * second) == []  # the same word again
+    assert hints.select(listed(r0=0.0, r1=0.0), 100 * second) == []
+    assert hints.select(listed(r0=99.0, r1=0.0), 100 * second) == ["r0"]
+    assert hints.select(listed(r0=99.0, r1=0.0), 101 * second) == []  # the same word again
     good["r1"] = 103 * second
-    assert hints.take(listed(r0=0.0, r1=102.0), 104 * second) == []  # it answered this node since
-    assert hints.take(listed(r0=105.0, r1=0.0), 200 * second) == []  # old
-    assert hints.take(listed(r0=0.0, r1=199.0), 200 * second) == ["r1"]
+    assert hints.select(listed(r0=0.0, r1=102.0), 104 * second) == []  # it answered this node since
+    assert hints.select(listed(r0=105.0, r1=0.0), 200 * second) == []  # old
+    assert hints.select(listed(r0=0.0, r1=199.0), 200 * second) == ["r1"]
 
 
 @pytest.mark.parametrize("killed", range(4))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,7 +22,7 @@
 from stonetrack.discovery.settings import Lists, load_lists
 from stonetrack.discovery.turns import ComeAgain, Turn, Turns
 from stonetrack.engines.calls import call, exchange
-from stonetrack.engines.listing import Listing
+from stonetrack.engines.server_list import ServerListState
 from stonetrack.frontend.host import listen
 from stonetrack.settings import SettingsError
 from stonetrack.settings.schema import Kind, Limits, Listen, Timing
@@ -50,7 +50,7 @@
     puts: list[tuple[bool, dict[str, int]]], most: int, stops: list[int]
 ) -> None:
     history = History("h", 10, [line("a")], most)
-    followers: list[Listing] = []
+    followers: list[ServerListState] = []
     for n, (whole, given_lines) in enumerate(puts):
         lines = [line(name, weight=1.0 + w) for name, w in given_lines.items() if w or whole]
         gone = [line(name, state="removed") for name, w in given_lines.items() if not w and not whole]
@@ -58,13 +58,13 @@
         changed = history.put(lines) if whole else history.change([*lines, *gone])
         assert (history.version == version + 1) == bool(changed) == (history.lines != before)
         if n in stops:
-            followers.append(Listing(KINDS))
+            followers.append(ServerListState(KINDS))
         for follower in followers[: 1 + n % 3]:  # some fall behind
             told = history.news(follower.version, follower.origin)
             if told is not None:
-                follower.take(told.body, 0)
+                follower.apply_json(told.body, 0)
             assert follower.version == history.version
-            assert {k: v.weight for k, v in follower.lines.items()} == {
+            assert {k: v.weight for k, v in follower.entries.items()} == {
                 k: float(v.get("weight", 1.0)) for k, v in history.lines.items()
             }
     whole_list = history.whole()
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -24,7 +24,7 @@
     leases,
     watch,
 )
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
 from stonetrack.node.ports import Began, Over, Passed
 from stonetrack.wire import http1
 
@@ -159,7 +159,7 @@
     assert b"".join(e.data for e in events if isinstance(e, Passed)) == b"".join(EVENTS)
     assert events[-1].outcome is api.Outcome.SERVED and events[-1].kept_tokens == 4096
     assert events[-1].report == api.LoadReport(in_flight=7.0)
-    assert made.reusable and made.settled
+    assert made.reusable and made.fully_read
 
 
 @pytest.mark.parametrize(("role", "data", "outcome", "missing"), [
@@ -200,7 +200,7 @@
     ahead = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" * 3
     events, made = fed(ahead + STREAM + reply(200, b"again"), step)
     assert events[-1].outcome is api.Outcome.SERVED
-    assert not (made.reusable and made.settled)
+    assert not (made.reusable and made.fully_read)
     endless, _ = fed(b"HTTP/1.1 100 Continue\r\n\r\n" * 50, step)
     assert endless[-1].outcome is api.Outcome.RESET
 
@@ -328,15 +328,15 @@
 
 def test_connections_kept_to_a_silent_engine_do_not_draw_releases_there() -> None:
     silent, answers = (hosts.Engine(name, "10.0.0.1", n, READER, True) for n, name in enumerate(("silent", "answers")))
-    pool = Pool(4, 60.0)
+    pool = ConnectionPool(4, 60.0)
     called = calls.Calls(pool, lambda: 0, 0.25)
     for engine in (silent, silent, silent, answers):
         ours, theirs = socket.socketpair()
         theirs.close()
-        pool.give(engine.host, engine.port, ours)
-    assert pool.kept(silent.host, silent.port) == 3
+        pool.put_back(engine.host, engine.port, ours)
+    assert pool.idle_count(silent.host, silent.port) == 3
     assert leases.pick([silent, answers], called.heard, {}, 0, set()) is answers
-    pool.forget({(silent.host, silent.port)})
+    pool.retain({(silent.host, silent.port)})
     assert called.heard(answers) == 0.0 < called.heard(silent)
     pool.close()
 
--- a/tests/test_edge_serving.py
+++ b/tests/test_edge_serving.py
@@ -23,7 +23,7 @@
 from stonetrack.edge.leases import Leases
 from stonetrack.edge.probes import Probes
 from stonetrack.edge.serve import COMING
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
 from stonetrack.logic import MS, SECOND
 from stonetrack.node.invariants import Invariant
 from stonetrack.node.ports import Ask, Over
@@ -147,8 +147,8 @@
     clock, heard, silent = time.monotonic_ns, threading.Event(), threading.Event()
     readers = {f"r{n}": hosts.Engine(f"r{n}", "127.0.0.1", n + 1, api.Role.READER, True) for n in range(2)}
 
-    class Cut(Pool):
-        def take(self, host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
+    class Cut(ConnectionPool):
+        def acquire(self, host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
             time.sleep(0.25)
             raise TimeoutError("timed out")
 
@@ -204,7 +204,7 @@
     with platform(1, 2) as world, node(world) as made:
         client = Client(world.listen)
         assert ask(client, "first")[0].status == 200
-        take, slow = made.pool.take, threading.Event()
+        take, slow = made.pool.acquire, threading.Event()
         decode = {world.engines[name].port for name in ("w0", "w1")}
 
         def connecting(host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
@@ -214,7 +214,7 @@
                 time.sleep(1.0)
             return take(host, port, timeout)
 
-        made.pool.take = connecting  # type: ignore[method-assign]
+        made.pool.acquire = connecting  # type: ignore[method-assign]
         slow.set()
         client.ask(b"{}", headers=headers("q"))
         assert wait_for(lambda: ("release", "r0") in world.which("q"), 5.0)
@@ -314,7 +314,7 @@
 ) -> None:
     """Connecting may take all of its time; what is sent after that serves nobody, first attempt or further one."""
     with platform(2, 1) as world, node(world) as made:
-        take, connecting, left = made.pool.take, threading.Event(), threading.Event()
+        take, connecting, left = made.pool.acquire, threading.Event(), threading.Event()
         ports = {engine.port: name for name, engine in world.engines.items()}
         failed: list[str] = []
         if further:
@@ -329,7 +329,7 @@
             failed.extend([ports[port]] if reader else [])
             return take(host, port, timeout)
 
-        monkeypatch.setattr(made.pool, "take", slowly)
+        monkeypatch.setattr(made.pool, "acquire", slowly)
         client = Client(world.listen)
         client.ask(b"{}", CHAT, headers=headers("q"))
         assert connecting.wait(5.0)
@@ -496,7 +496,7 @@
 def test_a_drain_told_while_connecting_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     """The list comes between the look at it and the first byte: the send is taken back as never sent."""
     with platform(2, 1) as world, node(world) as made:
-        take, told = made.pool.take, threading.Event()
+        take, told = made.pool.acquire, threading.Event()
 
         def slowly(host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
             name = next(name for name, engine in world.engines.items() if engine.port == port)
@@ -506,7 +506,7 @@
                 assert wait_for(lambda: made.hosts.rev == world.rev)
             return take(host, port, timeout)
 
-        monkeypatch.setattr(made.pool, "take", slowly)
+        monkeypatch.setattr(made.pool, "acquire", slowly)
         assert ask(Client(world.listen), "q")[0].status == 200
         drained = next(name for name, state in world.states.items() if state == "DRAINING")
         assert told.is_set() and ("read", drained) not in world.which("q")
@@ -593,7 +593,7 @@
     for name in ("SILENT", "ANSWER", "CONNECT", "FIRST_PAUSE", "LONGEST_PAUSE"):
         monkeypatch.setattr(watch, name, getattr(watch, name) / 10)
     listener, asked, documents = socket.create_server(("127.0.0.1", 0)), [], []
-    head = writer.streamed(200, [("Content-Type", "application/json")])
+    head = writer.chunked_head(200, [("Content-Type", "application/json")])
 
     def agent() -> None:
         with contextlib.suppress(OSError):
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -20,12 +20,12 @@
 from stonetrack.durable import save
 from stonetrack.engines import load, protocol
 from stonetrack.engines.attempt import SocketAttempt
-from stonetrack.engines.keeping import Keeping
-from stonetrack.engines.listing import ListError, Listing
-from stonetrack.engines.pool import Pool
-from stonetrack.engines.releases import Heard, Item, ReleaseBook
-from stonetrack.engines.reuse import Rest
-from stonetrack.engines.sources import ListSource
+from stonetrack.engines.idle_timeouts import IdleTimeouts
+from stonetrack.engines.list_source import ListSource
+from stonetrack.engines.pool import ConnectionPool
+from stonetrack.engines.release_queue import PendingRelease, ReleaseQueue, ReleaseResult
+from stonetrack.engines.reuse_delay import ReuseDelay
+from stonetrack.engines.server_list import ListError, ServerListState
 from stonetrack.node.ports import Ask, AttemptEvent, Began, Over, Piece
 from stonetrack.node.sockets import readable
 from stonetrack.settings.schema import Kind, Source
@@ -36,7 +36,7 @@
 LIMITS = http1.Limits()
 ASK = Ask("chatcmpl-1", 0, "s", 10**9, 100, {"model": "m", "messages": [], "max_completion_tokens": 9, "min_tokens": 2})
 CHUNK = json.dumps({"choices": [{"index": 0, "delta": {"content": "hé"}, "finish_reason": None}]}).encode()
-STREAM = writer.streamed(200, [("Content-Type", "text/event-stream; charset=utf-8")])
+STREAM = writer.chunked_head(200, [("Content-Type", "text/event-stream; charset=utf-8")])
 
 
 def stream(*events: bytes, end: bool = True) -> bytes:
@@ -201,35 +201,35 @@
 def test_a_pooled_connection_that_the_engine_closed_is_not_used() -> None:
     server = listening()
     host, port = server.getsockname()
-    pool = Pool(4, idle=60.0)
-    sock, used = pool.take(host, port, 1.0)
+    pool = ConnectionPool(4, idle_timeout=60.0)
+    sock, used = pool.acquire(host, port, 1.0)
     theirs, _ = server.accept()
-    pool.give(host, port, sock)
-    again, used = pool.take(host, port, 1.0)
+    pool.put_back(host, port, sock)
+    again, used = pool.acquire(host, port, 1.0)
     assert used is not None and again is sock
-    pool.give(host, port, again)
+    pool.put_back(host, port, again)
     theirs.close()
     poller = select.poll()
     poller.register(again.fileno(), select.POLLIN)
     assert poller.poll(2_000)
-    fresh, used = pool.take(host, port, 1.0)
+    fresh, used = pool.acquire(host, port, 1.0)
     assert used is None and fresh is not sock
     fresh.close()
     server.close()
     with pytest.raises(OSError):
-        pool.take(host, port, 0.2)
+        pool.acquire(host, port, 0.2)
 
 
 def test_the_pool_is_bounded_in_number_and_age() -> None:
     server = listening()
     host, port = server.getsockname()
-    pool = Pool(2, idle=0.05)
-    socks = [pool.take(host, port, 1.0)[0] for _ in range(4)]
+    pool = ConnectionPool(2, idle_timeout=0.05)
+    socks = [pool.acquire(host, port, 1.0)[0] for _ in range(4)]
     for sock in socks:
-        pool.give(host, port, sock)
+        pool.put_back(host, port, sock)
     assert sum(sock.fileno() >= 0 for sock in socks) == 2
     time.sleep(0.1)
-    _, used = pool.take(host, port, 1.0)
+    _, used = pool.acquire(host, port, 1.0)
     assert used is None
     pool.close()
     server.close()
@@ -238,81 +238,81 @@
 @given(st.floats(0.1, 200.0), st.lists(st.floats(0.0, 300.0), max_size=30))
 def test_what_is_learned_of_an_engine_never_crosses_its_close(closes: float, rests: list[float]) -> None:
     """Whatever rests are looked at: the time for use stays below the engine's, or at what is good for all."""
-    keeping, address = Keeping(4.0, 60.0), ("h", 1)
+    keeping, address = IdleTimeouts(4.0, 60.0), ("h", 1)
     for n, rest in enumerate(rests):
         if rest < closes:
-            keeping.left_open(address, rest)
+            keeping.observe_open(address, rest)
         else:
-            keeping.found_closed(address, closes, float(n))
-        assert 4.0 <= keeping.usable(address, float(n)) <= max(4.0, min(60.0, 0.8 * closes))
-    assert keeping.usable(("h", 2), 0.0) == 4.0
-    keeping.forget(set())
-    assert keeping.usable(address, 0.0) == 4.0
+            keeping.observe_closed(address, closes, float(n))
+        assert 4.0 <= keeping.reuse_limit(address, float(n)) <= max(4.0, min(60.0, 0.8 * closes))
+    assert keeping.reuse_limit(("h", 2), 0.0) == 4.0
+    keeping.retain(set())
+    assert keeping.reuse_limit(address, 0.0) == 4.0
 
 
 def test_a_crash_teaches_nothing_and_a_close_is_forgotten_in_time() -> None:
-    keeping, address = Keeping(4.0, 60.0), ("h", 1)
-    keeping.left_open(address, 50.0)
-    keeping.found_closed(address, 0.1, 1.0)
-    assert keeping.usable(address, 1.0) == 40.0
-    keeping.found_closed(address, 10.0, 2.0)
-    assert keeping.usable(address, 2.0) == 8.0
-    keeping.left_open(address, 50.0)
-    assert keeping.usable(address, 3.0) == 8.0 and keeping.usable(address, 700.0) == 40.0
+    keeping, address = IdleTimeouts(4.0, 60.0), ("h", 1)
+    keeping.observe_open(address, 50.0)
+    keeping.observe_closed(address, 0.1, 1.0)
+    assert keeping.reuse_limit(address, 1.0) == 40.0
+    keeping.observe_closed(address, 10.0, 2.0)
+    assert keeping.reuse_limit(address, 2.0) == 8.0
+    keeping.observe_open(address, 50.0)
+    assert keeping.reuse_limit(address, 3.0) == 8.0 and keeping.reuse_limit(address, 700.0) == 40.0
 
 
 def test_a_pool_uses_connections_as_long_as_their_engine_leaves_them_open() -> None:
     server = listening()
     host, port = server.getsockname()
-    pool = Pool(4, idle=0.05, longest=60.0)
-    first = pool.take(host, port, 1.0)[0]
-    pool.give(host, port, first)
+    pool = ConnectionPool(4, idle_timeout=0.05, max_idle_timeout=60.0)
+    first = pool.acquire(host, port, 1.0)[0]
+    pool.put_back(host, port, first)
     time.sleep(0.4)
-    second, age = pool.take(host, port, 1.0)  # too old to be used, and kept to see what becomes of it
-    assert age is None and second is not first and pool.kept(host, port) == 1
+    second, age = pool.acquire(host, port, 1.0)  # too old to be used, and kept to see what becomes of it
+    assert age is None and second is not first and pool.idle_count(host, port) == 1
     pool.prune()
-    pool.give(host, port, second)
+    pool.put_back(host, port, second)
     time.sleep(0.2)
-    again, age = pool.take(host, port, 1.0)
+    again, age = pool.acquire(host, port, 1.0)
     assert again is second and age is not None and 0.15 < age < 0.35
-    pool.give(host, port, again)
+    pool.put_back(host, port, again)
     theirs = [server.accept()[0] for _ in range(2)]
     for sock in theirs:
         sock.close()
     assert readable(second, 2_000.0)
     pool.prune()
-    assert pool.kept(host, port) == 0 and pool.keeping.usable((host, port), time.monotonic()) < 0.7
-    plain = Pool(4, idle=0.05)
-    assert not plain.keeping.learns and plain.keeping.usable((host, port), 0.0) == 0.05
+    assert pool.idle_count(host, port) == 0 and pool.idle_timeouts.reuse_limit((host, port), time.monotonic()) < 0.7
+    plain = ConnectionPool(4, idle_timeout=0.05)
+    assert not plain.idle_timeouts.adaptive and plain.idle_timeouts.reuse_limit((host, port), 0.0) == 0.05
     pool.close()
     server.close()
 
 
 def test_kept_connections_rest_once_requests_on_them_went_unanswered() -> None:
-    rest = Rest()
-    assert rest.needed(0.0) == 0.0
-    rest.unanswered(10.0, 0.2)
-    assert rest.needed(10.0) == 0.0  # one may be chance
-    rest.unanswered(11.0, 0.4)
-    assert rest.needed(11.0) == pytest.approx(0.52)
-    rest.unanswered(11.5, 9.0)  # an engine that went down: no crossing close takes so long
-    assert rest.needed(12.0) == pytest.approx(0.52)
-    assert rest.needed(30.5) == 0.0  # the first is forgotten
+    rest = ReuseDelay()
+    assert rest.required(0.0) == 0.0
+    rest.record_unanswered(10.0, 0.2)
+    assert rest.required(10.0) == 0.0  # one may be chance
+    rest.record_unanswered(11.0, 0.4)
+    assert rest.required(11.0) == pytest.approx(0.52)
+    rest.record_unanswered(11.5, 9.0)  # an engine that went down: no crossing close takes so long
+    assert rest.required(12.0) == pytest.approx(0.52)
+    assert rest.required(30.5) == 0.0  # the first is forgotten
 
 
 def test_a_pool_that_needs_rest_takes_the_oldest_and_opens_meanwhile() -> None:
     server = listening()
     host, port = server.getsockname()
-    pool = Pool(4, idle=60.0)
-    first, second = (pool.take(host, port, 1.0)[0] for _ in range(2))
-    pool.give(host, port, first)
+    pool = ConnectionPool(4, idle_timeout=60.0)
+    first, second = (pool.acquire(host, port, 1.0)[0] for _ in range(2))
+    pool.put_back(host, port, first)
     for _ in range(2):
-        pool.unanswered(0.05)
-    young, age = pool.take(host, port, 1.0)
-    assert age is None and pool.kept(host, port) == 1
+        pool.record_unanswered(0.05)
+    young, age = pool.acquire(host, port, 1.0)
+    assert age is None and pool.idle_count(host, port) == 1
     time.sleep(0.1)
-    pool.give(host, port, second)
-    oldest, age = pool.take(host, port, 1.0)
+    pool.put_back(host, port, second)
+    oldest, age = pool.acquire(host, port, 1.0)
     assert oldest is first and age is not None and age >= 0.1
     for sock in (young, oldest):
         sock.close()
@@ -334,23 +334,23 @@
 
 
 def test_a_list_and_its_changes() -> None:
-    listing = Listing(KINDS)
-    event = listing.take(document(line("a"), line("b", kind="writer", cell="row-2", started=5.5)), 100 * 10**9)
+    listing = ServerListState(KINDS)
+    event = listing.apply_json(document(line("a"), line("b", kind="writer", cell="row-2", started=5.5)), 100 * 10**9)
     assert event.kind is api.ListKind.FULL and [e.server for e in event.entries] == ["a", "b"]
     assert event.entries[1].kind == 1 and event.entries[1].started == 5_500_000_000
-    event = listing.take(document(line("a", state="draining"), version=2, kind="changes"), 0)
+    event = listing.apply_json(document(line("a", state="draining"), version=2, kind="changes"), 0)
     assert event.kind is api.ListKind.CHANGES and len(event.entries) == 1
     assert set(listing.engines) == {"a", "b"}
-    listing.take(document(line("a", state="removed"), version=3, kind="changes"), 0)
+    listing.apply_json(document(line("a", state="removed"), version=3, kind="changes"), 0)
     assert set(listing.engines) == {"b"} and listing.version == 3
-    again = Listing(KINDS)
-    assert again.take(listing.saved(), 0, saved=True).kind is api.ListKind.SAVED and set(again.engines) == {"b"}
+    again = ServerListState(KINDS)
+    assert again.apply_json(listing.to_json(), 0, saved=True).kind is api.ListKind.SAVED and set(again.engines) == {"b"}
 
 
 def test_another_address_with_the_same_start_is_another_machine() -> None:
-    listing = Listing(KINDS)
-    listing.take(document(line("a", started=5)), 0)
-    event = listing.take(document(line("a", started=5, address="127.0.0.1:10"), version=2), 77 * 10**9)
+    listing = ServerListState(KINDS)
+    listing.apply_json(document(line("a", started=5)), 0)
+    event = listing.apply_json(document(line("a", started=5, address="127.0.0.1:10"), version=2), 77 * 10**9)
     assert event.entries[0].started == 77 * 10**9
 
 
@@ -367,19 +367,19 @@
     ],
 )
 def test_a_list_with_anything_wrong_is_refused_whole(bad: dict[str, Any], said: str) -> None:
-    listing = Listing(KINDS)
-    listing.take(document(line("x")), 0)
+    listing = ServerListState(KINDS)
+    listing.apply_json(document(line("x")), 0)
     with pytest.raises(ListError) as refused:
-        listing.take(document(line("y"), bad, version=2), 0)
+        listing.apply_json(document(line("y"), bad, version=2), 0)
     assert said in str(refused.value) and set(listing.engines) == {"x"} and listing.version == 1
     with pytest.raises(ListError, match="stands twice"):
-        listing.take(document(line("y"), line("y")), 0)
+        listing.apply_json(document(line("y"), line("y")), 0)
 
 
 @given(st.binary(max_size=200))
 def test_garbage_is_no_list(data: bytes) -> None:
     with pytest.raises(ListError):
-        Listing(KINDS).take(data, 0)
+        ServerListState(KINDS).apply_json(data, 0)
 
 
 def test_a_watched_file_is_followed_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
@@ -387,9 +387,9 @@
     path.write_bytes(document(line("a")))
     taken: list[api.ServerList] = []
     said: list[str] = []
-    listing = Listing(KINDS)
+    listing = ServerListState(KINDS)
     source = ListSource(Source(file=str(path), poll_ms=10), listing, time.time_ns, instance="i0", saved=kept,
-                        take=lambda event, engines: taken.append(event), log=said.append)  # fmt: skip
+                        on_list=lambda event, engines: taken.append(event), log=said.append)  # fmt: skip
     source.start()
     try:
         assert wait_for(kept.exists) and len(taken) == 1
@@ -432,107 +432,120 @@
 
 
 def test_a_release_that_is_answered_otherwise_is_tried_again_until_it_is_done_or_given_up() -> None:
-    book = ReleaseBook(50 * MS)
-    book.add(Item("q", "r0", 0, {}, 0))
+    book = ReleaseQueue(50 * MS)
+    book.add(PendingRelease("q", "r0", 0, {}, 0))
     now, tries = 0, []
-    while (at := book.next_at()) is not None:
+    while (at := book.next_due()) is not None:
         now = max(now, at)
-        found = book.due(now)
+        found = book.take_due(now)
         assert found is not None
         tries.append(now // MS)
-        book.told(found[0], Heard.AGAIN, now)
+        book.record_result(found[0], ReleaseResult.RETRY, now)
     assert tries[:4] == [0, 20, 60, 140] and tries[-1] <= 1_000 and not len(book) and book.dropped == 1
-    book.add(Item("q", "r0", 0, {}, now))
-    found = book.due(now)
+    book.add(PendingRelease("q", "r0", 0, {}, now))
+    found = book.take_due(now)
     assert found is not None
-    assert not book.told(found[0], Heard.DONE, now)
-    assert not len(book) and not book.told(found[0], Heard.AGAIN, now)
+    assert not book.record_result(found[0], ReleaseResult.DONE, now)
+    assert not len(book) and not book.record_result(found[0], ReleaseResult.RETRY, now)
 
 
-def asked(book: ReleaseBook, until: int, heard: Callable[[Item, int], Heard]) -> list[tuple[int, str]]:
+def asked(
+    book: ReleaseQueue, until: int, heard: Callable[[PendingRelease, int], ReleaseResult]
+) -> list[tuple[int, str]]:
     """Play a book with one thread: when (ms) each request was tried."""
     tries = []
-    while (at := book.next_at()) is not None and at <= until:
-        found = book.due(at)
+    while (at := book.next_due()) is not None and at <= until:
+        found = book.take_due(at)
         if found is not None:
             tries.append((at // MS, found[1].request))
-            book.told(found[0], heard(found[1], at), at)
+            book.record_result(found[0], heard(found[1], at), at)
     return tries
 
 
 def test_an_engine_that_is_away_is_asked_for_by_one_release_and_owed_them_all() -> None:
     """For two minutes, far past the time after which an answered release is given up; then all are due at once."""
     away_until = 120_000 * MS
-    book = ReleaseBook(50 * MS)
+    book = ReleaseQueue(50 * MS)
     for n in range(500):
-        book.add(Item(f"q{n}", "r0", 0, {}, n))
-    tries = asked(book, 200_000 * MS, lambda item, at: Heard.AWAY if at < away_until else Heard.DONE)
+        book.add(PendingRelease(f"q{n}", "r0", 0, {}, n))
+    tries = asked(
+        book, 200_000 * MS, lambda item, at: ReleaseResult.UNREACHABLE if at < away_until else ReleaseResult.DONE
+    )
     before = [at for at, _ in tries if at < 120_000]
     after = [at for at, _ in tries if at >= 120_000]
     assert 2_400 < len(before) < 4_800 and len(after) == 500 and after[-1] == after[0] <= 120_050
-    assert not len(book) and book.dropped == 0 and book.away == 0
+    assert not len(book) and book.dropped == 0 and book.unreachable_engines == 0
 
 
 def test_an_engine_that_is_away_and_off_the_list_is_given_up() -> None:
-    book = ReleaseBook(50 * MS)
+    book = ReleaseQueue(50 * MS)
     for n in range(5):
-        book.add(Item(f"q{n}", "r0", 0, {}, 0))
-    tries = asked(book, 60_000 * MS, lambda item, at: Heard.GONE)
-    assert not len(book) and book.dropped == 5 and book.away == 0 and tries[-1][0] < 8_000
+        book.add(PendingRelease(f"q{n}", "r0", 0, {}, 0))
+    tries = asked(book, 60_000 * MS, lambda item, at: ReleaseResult.DELISTED)
+    assert not len(book) and book.dropped == 5 and book.unreachable_engines == 0 and tries[-1][0] < 8_000
 
 
 def test_engines_that_are_away_leave_a_thread_to_the_others() -> None:
-    book = ReleaseBook(50 * MS, most_away=3)
+    book = ReleaseQueue(50 * MS, max_unreachable_tries=3)
     for n in range(10):
-        book.add(Item("q", f"r{n}", 0, {}, 0))
-        found = book.due(0)
-        assert found is not None and book.told(found[0], Heard.AWAY, 0)
-    out = [book.due(30 * MS) for _ in range(5)]
-    assert [each is not None for each in out] == [True] * 3 + [False] * 2 and book.next_at() is None
-    book.add(Item("well", "w0", 0, None, 30 * MS))
-    found = book.due(30 * MS)
-    assert found is not None and found[1].request == "well" and not book.told(found[0], Heard.DONE, 30 * MS)
-    assert out[0] is not None and book.told(out[0][0], Heard.AWAY, 40 * MS)
-    assert book.due(40 * MS) is not None and book.due(40 * MS) is None  # a place is free for one more
+        book.add(PendingRelease("q", f"r{n}", 0, {}, 0))
+        found = book.take_due(0)
+        assert found is not None and book.record_result(found[0], ReleaseResult.UNREACHABLE, 0)
+    out = [book.take_due(30 * MS) for _ in range(5)]
+    assert [each is not None for each in out] == [True] * 3 + [False] * 2 and book.next_due() is None
+    book.add(PendingRelease("well", "w0", 0, None, 30 * MS))
+    found = book.take_due(30 * MS)
+    assert (
+        found is not None
+        and found[1].request == "well"
+        and not book.record_result(found[0], ReleaseResult.DONE, 30 * MS)
+    )
+    assert out[0] is not None and book.record_result(out[0][0], ReleaseResult.UNREACHABLE, 40 * MS)
+    assert book.take_due(40 * MS) is not None and book.take_due(40 * MS) is None  # a place is free for one more
 
 
 @given(st.lists(st.tuples(st.sampled_from(["add", "due", "done", "again", "away", "gone", "drop"]),
                           st.integers(0, 3), st.integers(0, 400)), max_size=80))  # fmt: skip
 def test_whatever_comes_every_release_ends_once_its_engine_answers(history: list[tuple[str, int, int]]) -> None:
     """Nothing is lost, and nothing is tried twice at one time."""
-    book = ReleaseBook(50 * MS, most=20, most_away=2)
-    now, out, added, over = 0, dict[int, Item](), 0, 0
-    heard = {"done": Heard.DONE, "again": Heard.AGAIN, "away": Heard.AWAY, "gone": Heard.GONE}
+    book = ReleaseQueue(50 * MS, max_open=20, max_unreachable_tries=2)
+    now, out, added, over = 0, dict[int, PendingRelease](), 0, 0
+    heard = {
+        "done": ReleaseResult.DONE,
+        "again": ReleaseResult.RETRY,
+        "away": ReleaseResult.UNREACHABLE,
+        "gone": ReleaseResult.DELISTED,
+    }
     for what, which, pause in history:
         now += pause * MS
         if what == "add":
-            book.add(Item(f"q{added}", f"r{which}", 0, {}, now))
+            book.add(PendingRelease(f"q{added}", f"r{which}", 0, {}, now))
             added += 1
         elif what == "due":
-            found = book.due(now)
+            found = book.take_due(now)
             assert found is None or found[0] not in out
             out |= dict([found]) if found is not None else {}
         elif what == "drop" and out:
-            book.done(list(out)[which % len(out)])
+            book.remove(list(out)[which % len(out)])
         elif out and what in heard:
             number = list(out)[which % len(out)]
             del out[number]
-            book.told(number, heard[what], now)
+            book.record_result(number, heard[what], now)
     for number in list(out):
-        book.told(number, Heard.AWAY, now)
-    while (at := book.next_at()) is not None:
+        book.record_result(number, ReleaseResult.UNREACHABLE, now)
+    while (at := book.next_due()) is not None:
         now = max(now, at)
-        found = book.due(now)
+        found = book.take_due(now)
         if found is not None:
             over += 1
-            assert not book.told(found[0], Heard.DONE, now)
-    assert not len(book) and book.away == 0 and over <= 20
+            assert not book.record_result(found[0], ReleaseResult.DONE, now)
+    assert not len(book) and book.unreachable_engines == 0 and over <= 20
 
 
 def test_open_releases_are_bounded() -> None:
-    book = ReleaseBook(10**12, most=100)
+    book = ReleaseQueue(10**12, max_open=100)
     for n in range(250):
-        book.add(Item(str(n), "r0", 0, {}, 0))
+        book.add(PendingRelease(str(n), "r0", 0, {}, 0))
     assert len(book) == 100 and book.dropped == 150
-    found = book.due(0)
+    found = book.take_due(0)
     assert found is not None and found[1].request == "150"
--- a/tests/test_starts_and_clocks.py
+++ b/tests/test_starts_and_clocks.py
@@ -14,7 +14,7 @@
 from stonetrack import clocks
 from stonetrack.capture import tend
 from stonetrack.capture.journal import SUFFIX
-from stonetrack.engines.starts import MOST, Starts
+from stonetrack.engines.start_times import MAX_ENGINES, StartTimes
 from tests.platform import ask, node, platform
 from tests.rig import Client, wait_for
 from tests.test_edge import NOW, held, listing, target
@@ -66,12 +66,12 @@
 
 
 def test_long_ago_stays_long_ago_and_the_memory_is_bounded() -> None:
-    starts = Starts()
+    starts = StartTimes()
     assert starts.on_node_clock("s", 0, NOW, True) == 0 == starts.on_node_clock("s", -5, NOW, True)
-    for n in range(MOST + 10):
+    for n in range(MAX_ENGINES + 10):
         starts.on_node_clock(f"s{n}", 1, NOW, True)
-    assert len(starts._known) == MOST
-    assert starts.on_node_clock(f"s{MOST}", 1, NOW + SECOND, True) == NOW  # listed again after it was gone
+    assert len(starts._known) == MAX_ENGINES
+    assert starts.on_node_clock(f"s{MAX_ENGINES}", 1, NOW + SECOND, True) == NOW  # listed again after it was gone
 
 
 def test_a_node_whose_wall_clock_is_an_hour_ahead_takes_a_restarted_engine_for_cold() -> None:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -156,8 +156,8 @@
 
 def begin_anew(made: EdgeNode) -> None:
     """No kept connection, and nobody left out: each request opens its connections, to any engine."""
-    made.pool.forget(set())
-    made.pool.rest._failed.clear()
+    made.pool.retain(set())
+    made.pool.reuse_delay._failed.clear()
     for server in made.core.router.servers.values():  # type: ignore[attr-defined]
         server.paused.clear()
     made.calls.suspects.clear()
@@ -243,25 +243,25 @@
 
 
 def test_a_connection_is_opened_in_place_of_an_idle_one_where_descriptors_are_short() -> None:
-    from stonetrack.engines.pool import Pool
+    from stonetrack.engines.pool import ConnectionPool
     from stonetrack.frontend.host import listen
 
     listener = listen("127.0.0.1", 0, 8)
     port = listener.getsockname()[1]
-    pool = Pool(8, 10.0)
-    first, _ = pool.take("127.0.0.1", port, 1.0)
-    pool.give("127.0.0.1", port, first)
+    pool = ConnectionPool(8, 10.0)
+    first, _ = pool.acquire("127.0.0.1", port, 1.0)
+    pool.put_back("127.0.0.1", port, first)
 
     class Full(System):
         def make(self, family: int) -> socket.socket:
-            if pool.kept("127.0.0.1", port):
+            if pool.idle_count("127.0.0.1", port):
                 raise OSError(errno.EMFILE, "Too many open files")
             return super().make(family)
 
     real, sockets.SYSTEM = sockets.SYSTEM, Full()
     try:
         other = pool._open("127.0.0.1", port, 1.0)
-        assert other.fileno() >= 0 and pool.kept("127.0.0.1", port) == 0
+        assert other.fileno() >= 0 and pool.idle_count("127.0.0.1", port) == 0
         other.close()
     finally:
         sockets.SYSTEM = real
@@ -270,7 +270,7 @@
 
 def test_a_shortage_that_idle_connections_do_not_end_is_told_within_the_time_for_connecting() -> None:
     """All idle connections were given up one after the other, each with its tries, however long that took."""
-    from stonetrack.engines.pool import Pool
+    from stonetrack.engines.pool import ConnectionPool
     from stonetrack.frontend.host import listen
 
     class NoRoute(System):
@@ -279,12 +279,12 @@
 
     listener = listen("127.0.0.1", 0, 64)
     port = listener.getsockname()[1]
-    pool = Pool(40, 10.0)
-    for sock in [pool.take("127.0.0.1", port, 1.0)[0] for _ in range(40)]:
-        pool.give("127.0.0.1", port, sock)
+    pool = ConnectionPool(40, 10.0)
+    for sock in [pool.acquire("127.0.0.1", port, 1.0)[0] for _ in range(40)]:
+        pool.put_back("127.0.0.1", port, sock)
     began = time.monotonic()
     with faults(NoRoute()), pytest.raises(MachineShort):
         pool._open("127.0.0.1", port, 0.05)
-    assert time.monotonic() - began < 0.3 and pool.kept("127.0.0.1", port) > 20
+    assert time.monotonic() - began < 0.3 and pool.idle_count("127.0.0.1", port) > 20
     pool.close()
     listener.close()
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -8,8 +8,8 @@
 import pytest
 
 from stonetrack import api
-from stonetrack.engines.releases import Heard, Item
-from stonetrack.engines.releasing import Releasing
+from stonetrack.engines.release_queue import PendingRelease, ReleaseResult
+from stonetrack.engines.release_workers import ReleaseWorkers
 from stonetrack.node import threads
 from stonetrack.node.core import Core, Timers
 from tests.platform import ask, node, platform
@@ -64,15 +64,15 @@
 def test_a_release_that_fails_by_a_defect_is_owed_all_the_same() -> None:
     tried: list[str] = []
 
-    def release(item: Item) -> Heard:
+    def release(item: PendingRelease) -> ReleaseResult:
         tried.append(item.request)
         if len(tried) == 1:
             raise ValueError("a defect")
-        return Heard.DONE
+        return ReleaseResult.DONE
 
-    releasing = Releasing(time.monotonic_ns, 500_000_000, 2, release)
+    releasing = ReleaseWorkers(time.monotonic_ns, 500_000_000, 2, release)
     releasing.start()
-    releasing.add([Item("q", "", 0, None, time.monotonic_ns())])
+    releasing.add([PendingRelease("q", "", 0, None, time.monotonic_ns())])
     assert wait_for(lambda: tried == ["q", "q"] and not len(releasing))
     releasing.stop(0.0)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -62,7 +62,9 @@
 
 def test_every_byte_alone() -> None:
     data = (
-        writer.streamed(200, [("Content-Type", "text/event-stream")]) + writer.chunk(b"data: x\n\n") + writer.LAST_CHUNK
+        writer.chunked_head(200, [("Content-Type", "text/event-stream")])
+        + writer.chunk(b"data: x\n\n")
+        + writer.LAST_CHUNK
     )
     assert read(RESPONSES, [data]) == read(RESPONSES, [data[n : n + 1] for n in range(len(data))])
 
@@ -220,7 +222,7 @@
 def test_events_read_the_same_in_any_pieces(events: list[list[str]], end: str, cuts: list[int]) -> None:
     text = "".join("".join(f"data: {line}{end}" for line in event) + end for event in events)
     data = text.encode()
-    stream = sse.EventStream()
+    stream = sse.EventStreamReader()
     got = [e.data for piece in parts(data, cuts) for e in stream.feed(piece)]
     if end == "\r" and data:  # the last CR may be half a CRLF
         got += [e.data for e in stream.feed(b"\n")]
@@ -229,21 +231,21 @@
 
 @given(st.binary(max_size=60).filter(lambda data: b"\r" not in data))
 def test_what_is_encoded_is_read_back(data: bytes) -> None:
-    stream = sse.EventStream()
+    stream = sse.EventStreamReader()
     assert [e.data for e in stream.feed(sse.encode(data, "note"))] == [data]
-    assert stream.clean
+    assert stream.between_events
 
 
 def test_comments_names_and_half_events() -> None:
-    stream = sse.EventStream()
-    assert stream.feed(b"\xef\xbb\xbf: hello\nevent: note\ndata:x\nid: 3\n\n") == [sse.ServerSent(b"x", "note")]
-    assert stream.feed(b"data: half") == [] and not stream.clean
+    stream = sse.EventStreamReader()
+    assert stream.feed(b"\xef\xbb\xbf: hello\nevent: note\ndata:x\nid: 3\n\n") == [sse.ServerSentEvent(b"x", "note")]
+    assert stream.feed(b"data: half") == [] and not stream.between_events
 
 
 def test_an_event_is_bounded() -> None:
     with pytest.raises(ProtocolError):
-        sse.EventStream(limit=100).feed(b"data: " + b"a" * 200)
-    stream = sse.EventStream(limit=100)
+        sse.EventStreamReader(limit=100).feed(b"data: " + b"a" * 200)
+    stream = sse.EventStreamReader(limit=100)
     with pytest.raises(ProtocolError):
         for _ in range(200):
             stream.feed(b"data: abc\n")
