--- a/stonetrack/engines/release_queue.py
+++ b/stonetrack/engines/release_queue.py
@@ -9,8 +9,9 @@
 - An engine that could not be reached is *away*: one try at a time asks for it, the oldest release, at pauses that
   double up to ``within``, which is then good from the moment on at which it can be reached again; the others wait
   behind it, without limit of time while the engine is on the list, and are all due at once when it answers.  So what an
-  engine costs that is away does not grow with what is held there, and ``max_unreachable_tries`` tries at such engines at
-  one time leave threads for the others.  Each pause is drawn anew, since hundreds of nodes lose an engine at one moment.
+  engine costs that is away does not grow with what is held there, and ``max_unreachable_tries`` tries at such engines
+  at one time leave threads for the others.  Each pause is drawn anew, since hundreds of nodes lose an engine at one
+  moment.
 
 Bounded: past ``max_open`` open releases the oldest is dropped and counted.
 """
