--- a/stonetrack/engines/pool.py
+++ b/stonetrack/engines/pool.py
@@ -14,7 +14,7 @@
 
 from stonetrack.engines.idle_timeouts import IdleTimeouts
 from stonetrack.engines.reuse_delay import ReuseDelay
-from stonetrack.node.sockets import MachineShort, close, connect, readable
+from stonetrack.node.sockets import ResourceExhausted, close, connect, readable
 
 INSPECT_INTERVAL_S = 0.5  # seconds from one look at all idle connections to the next
 
@@ -50,7 +50,7 @@
     def acquire(self, host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
         """A connection and for how many seconds it was kept, None for a new one.
 
-        Raises OSError where none is had: MachineShort where that is not the engine's fault.
+        Raises OSError where none is had: ResourceExhausted where that is not the engine's fault.
         """
         while True:
             with self._lock:
@@ -80,7 +80,7 @@
         while True:
             try:
                 sock = connect(host, port, end - time.monotonic())
-            except MachineShort:
+            except ResourceExhausted:
                 if time.monotonic() >= end or not self._give_up_one():
                     raise
                 continue
--- a/stonetrack/engines/release_workers.py
+++ b/stonetrack/engines/release_workers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from stonetrack.engines.release_queue import PendingRelease, ReleaseQueue, ReleaseResult
-from stonetrack.node.threads import lasting
+from stonetrack.node.threads import restarting_thread
 
 SECOND = 1e9
 
@@ -32,7 +32,7 @@
         self.queue = ReleaseQueue(within, max_unreachable_tries=max(1, threads - 1), seed=seed)
         self.changed = threading.Condition(threading.Lock())  # guards the book; told of every change
         self._stopping = False
-        self._threads = [lasting(f"releases-{n}", self._run, log) for n in range(threads)]
+        self._threads = [restarting_thread(f"releases-{n}", self._run, log) for n in range(threads)]
 
     def start(self) -> None:
         """Start the threads."""
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -93,7 +93,7 @@
 IO = {"socket", "select", "threading", "time", "os", "subprocess", "queue", "signal"}
 PURE = [
     "wire/*.py", "node/invariants.py", "node/transitions.py",
-    "node/life.py", "node/ports.py", "node/system_errors.py", "engines/protocol.py", "engines/load.py",
+    "node/request_lifecycle.py", "node/ports.py", "node/system_errors.py", "engines/protocol.py", "engines/load.py",
     "engines/server_list.py", "engines/release_queue.py", "engines/reuse_delay.py", "engines/start_times.py",
     "bootstrap/*.py",
     "discovery/history.py", "discovery/turns.py", "discovery/settings.py", "election/*.py", "audit/filter.py",
