--- a/stonetrack/edge/abandoned.py
+++ b/stonetrack/edge/abandoned.py
@@ -8,8 +8,10 @@
 - The engine is owed a release that it answers itself.  One that can't be reached is asked again until it answers; one
   that refuses connections has lost its process, and all that it held.
 - From each of these moments on (given up, heard on the connection, release answered late) releases follow one another
-  within the settings' time, so that a state which the engine finishes meanwhile is let go of in time: ``BLIND`` of
-  them, ``INFORMED`` where the engine is there to be heard.  A blind one is tried once: where all engines are slow, what
+  within the settings' time, so that a state which the engine finishes meanwhile is let go of in time:
+  ``UNCONFIRMED_RELEASES`` of
+  them, ``CONFIRMED_RELEASES`` where the engine is there to be heard.  A blind one is tried once: where all
+  engines are slow, what
   is only a precaution may not add to their load.  They have threads of their own: when many engines come back at
   once, they keep no release waiting that a request under way has to have heard.
 
@@ -29,7 +31,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from stonetrack.edge.hosts import Engine
+from stonetrack.edge.engine_table import Engine
 from stonetrack.engines.releases import Heard, Item
 from stonetrack.engines.releasing import Releasing
 from stonetrack.node import sockets
@@ -39,7 +41,10 @@
 MOST = 1_024  # debts; past that the oldest are dropped
 KEPT_FOR = 60 * SECOND  # a connection on which nothing came for so long is closed
 LOOK = 0.05  # seconds from one look at the debts to the next
-BLIND, INFORMED = 2, 2  # releases after a moment from which on the engine may have left a state
+UNCONFIRMED_RELEASES, CONFIRMED_RELEASES = (
+    2,
+    2,
+)  # releases after a moment from which on the engine may have left a state
 FIRST_SHARE = 0.6  # of the settings' time until the first of them behind a giving up, which has had a release itself
 KNOWN_SHARE = 0.7  # of the settings' time for which a state that is known to be there waits for another attempt
 THREADS = 4
@@ -55,7 +60,7 @@
     sock: socket.socket | None
     given_up: int
     due: int  # when its next release is
-    left: int = BLIND
+    left: int = UNCONFIRMED_RELEASES
     told_at: int = 0  # when its engine said on the connection that it has acted; 0: not yet
     asked: bool = False  # its engine is being asked for an answer to a release
     answered: bool = False  # it has answered one
@@ -94,7 +99,7 @@
     number: int = 0
 
 
-class AbandonedReads:
+class AbandonedPrefills:
     """See the module.
 
     ``release`` tries once to let go of all that is held for a request, at any engine; ``ask`` carries one release to
@@ -130,7 +135,7 @@
         return len(self._book.debts)
 
     @property
-    def watched(self) -> int:
+    def watched_connections(self) -> int:
         """Connections that are watched."""
         return len(self._book.watched)
 
@@ -188,7 +193,7 @@
                 for fd in came:
                     if self._book.watched.get(fd) is watched[fd]:
                         self._told(watched[fd])
-                self._look(self._clock())
+                self._release_due(self._clock())
 
     def _came(self, watched: dict[int, _Debt]) -> list[int]:
         """Descriptors on which anything came, waited for until the next look."""
@@ -204,12 +209,12 @@
         self._unwatch(debt)
         self.counts.told += 1
         debt.told_at = self._clock()
-        debt.due, debt.left, debt.asked = debt.told_at, INFORMED, False
+        debt.due, debt.left, debt.asked = debt.told_at, CONFIRMED_RELEASES, False
         with self._releasing.changed:
             self._releasing.book.back(debt.engine.name, debt.told_at)
             self._releasing.changed.notify_all()
 
-    def _look(self, now: int) -> None:
+    def _release_due(self, now: int) -> None:
         """Release what is due; debts that are paid go.  Owed: ``Obligation.ABANDONED_READ``."""
         while self._answers:
             self._heard(*self._answers.popleft(), now)
@@ -242,7 +247,7 @@
         has only now acted on what lay there."""
         debt.answered = True
         if late:
-            debt.due, debt.left = now, INFORMED
+            debt.due, debt.left = now, CONFIRMED_RELEASES
 
     def _waits(self, debt: _Debt, now: int) -> bool:
         """Whether another attempt of its request would lose what it needs."""
--- a/stonetrack/edge/budget.py
+++ b/stonetrack/edge/budget.py
@@ -9,8 +9,10 @@
 
 from dataclasses import dataclass
 
-FIXED = 24  # standard streams, listener, reserve, epoll, discovery's watch (old and new), the configuration's file
-CALLS = 11  # connections for releases and probes: one for each of their threads, and some
+FIXED_DESCRIPTORS = (
+    24  # standard streams, listener, reserve, epoll, discovery's watch (old and new), the configuration's file
+)
+BACKGROUND_CALL_DESCRIPTORS = 11  # connections for releases and probes: one for each of their threads, and some
 ABANDONED_MOST = 16  # a second of attempts given up at engines that have fallen silent, on the busiest nodes
 BYTES_A_REQUEST = 200_000  # measured: 60,000 to 90,000 for stack and buffers; and a body
 BASE_BYTES = 18_000_000  # measured: 13 to 14 million for interpreter, imports and tables
@@ -23,13 +25,13 @@
     clients: int  # connections from clients
     requests: int  # requests under way, so attempts too
     wakers: int
-    kept: int  # idle connections to engines
+    idle_connections: int  # idle connections to engines
     abandoned: int  # connections of attempts that were given up without their engine's word
 
 
-def divide(sockets: int, memory_mb: float) -> Budget:
+def divide_budget(sockets: int, memory_mb: float) -> Budget:
     """Shares of so many descriptors, with requests bounded by memory as well."""
-    free = sockets - FIXED - CALLS
+    free = sockets - FIXED_DESCRIPTORS - BACKGROUND_CALL_DESCRIPTORS
     clients = free * 46 // 100
     requests = min(free * 37 // 100, max(16, int((memory_mb * 1e6 - BASE_BYTES) / BYTES_A_REQUEST)))
     wakers = free * 7 // 100
--- a/stonetrack/edge/calls.py
+++ b/stonetrack/edge/calls.py
@@ -7,27 +7,27 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from stonetrack.edge.hosts import Engine
+from stonetrack.edge.engine_table import Engine
 from stonetrack.engines.pool import Pool
 from stonetrack.node.sockets import MachineShort, close, reset
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
 
-SUSPECT = 3_000_000_000  # nanoseconds for which an engine that did not answer is asked last
+SUSPECT_NS = 3_000_000_000  # nanoseconds for which an engine that did not answer is asked last
 _LIMITS = http1.Limits(head=16_384, headers=64, body=65_536)
 _BODY = 4_096  # bytes of an answer that are kept
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer; ``keep`` tells whether the connection may be used again."""
+    """A whole answer; ``reusable`` tells whether the connection may be used again."""
 
     head: http1.ResponseHead
     body: bytes
-    keep: bool
+    reusable: bool
 
 
-def exchange(sock: socket.socket, request: bytes, timeout: float) -> Answer:
+def send_and_receive(sock: socket.socket, request: bytes, timeout: float) -> Answer:
     """Send one call and read its answer, in so many seconds.  Raises OSError."""
     reader = http1.MessageReader(http1.Side.RESPONSES, _LIMITS)
     end = time.monotonic() + timeout
@@ -55,18 +55,18 @@
             raise ConnectionError(str(error)) from None
 
 
-class Calls:
+class EngineCalls:
     """Calls engines; remembers for a while which did not answer."""
 
     def __init__(self, pool: Pool, clock: Callable[[], int], connect: float) -> None:
         self._pool, self._clock, self._connect = pool, clock, connect
-        self.suspects: dict[str, int] = {}  # until when, by engine
+        self.suspect_until: dict[str, int] = {}  # until when, by engine
 
-    def forget(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Forget engines that are not among these."""
-        self.suspects = {name: until for name, until in self.suspects.items() if name in names}
+        self.suspect_until = {name: until for name, until in self.suspect_until.items() if name in names}
 
-    def heard(self, engine: Engine) -> float:
+    def last_heard(self, engine: Engine) -> float:
         """Monotonic time in seconds at which an engine last answered on the shared pool; 0 for never."""
         return self._pool.heard(engine.host, engine.port)
 
@@ -75,7 +75,7 @@
         try:
             sock, age = self._pool.take(engine.host, engine.port, min(self._connect, timeout))
             try:
-                answer = exchange(sock, message, timeout)
+                answer = send_and_receive(sock, message, timeout)
             except TimeoutError:
                 reset(sock)
                 raise
@@ -86,9 +86,9 @@
         except MachineShort:
             raise  # no fault of the engine's
         except OSError:
-            self.suspects[engine.name] = self._clock() + SUSPECT
+            self.suspect_until[engine.name] = self._clock() + SUSPECT_NS
             raise
-        if answer.keep:
+        if answer.reusable:
             self._pool.give(engine.host, engine.port, sock)
         else:
             close(sock)
--- a/stonetrack/edge/config.py
+++ b/stonetrack/edge/config.py
@@ -49,15 +49,15 @@
     discovery: tuple[str, int]
     seed: int
     limits: Limits
-    known: bytes  # in discovery's form; empty where none was given
-    pairs: dict[str, str]  # the settings, flattened
+    initial_list: bytes  # in discovery's form; empty where none was given
+    settings_pairs: dict[str, str]  # the settings, flattened
     settings: api.Settings
     kinds: tuple[str, ...]
     zones: tuple[str, ...]
-    connection_idle: int  # nanoseconds after which an engine closes an idle connection
+    engine_idle_ns: int  # nanoseconds after which an engine closes an idle connection
 
 
-def address(text: str, path: str) -> tuple[str, int]:
+def parse_address(text: str, path: str) -> tuple[str, int]:
     """Host and port of ``host:port``.  Raises ConfigError."""
     found = split_address(text)
     if found is None:
@@ -109,8 +109,8 @@
     _check_amounts(settings)
     return Config(
         told.name,
-        address(told.listen, "$.listen"),
-        address(told.discovery, "$.discovery"),
+        parse_address(told.listen, "$.listen"),
+        parse_address(told.discovery, "$.discovery"),
         seed,
         told.limits,
         bytes(told.known),
@@ -122,7 +122,7 @@
     )
 
 
-def another_deployment(running: Config, other: Config) -> str:
+def deployment_mismatch(running: Config, other: Config) -> str:
     """Why a configuration is not one of the deployment that runs; empty where it is.
 
     A router's tables, and what it learned, are of its classes, tenants and kinds of engines: a node takes others by
--- a/stonetrack/edge/documents.py
+++ b/stonetrack/edge/documents.py
@@ -9,13 +9,13 @@
 
 import re
 
-MOST = 4 << 20  # bytes of one object
+MAX_DOCUMENT_BYTES = 4 << 20  # bytes of one object
 _MARKS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings whole, so that braces within them do not count
 _WEIGHTS = {b"{": 1, b"[": 1, b"}": -1, b"]": -1}
 
 
 class DocumentError(ValueError):
-    """An object that can't be used: longer than ``MOST`` bytes, or not what the protocol has."""
+    """An object that can't be used: longer than ``MAX_DOCUMENT_BYTES`` bytes, or not what the protocol has."""
 
 
 class DocumentReader:
@@ -29,8 +29,8 @@
     def feed(self, data: bytes) -> list[bytes]:
         """Objects that end in these bytes, as they came.  Raises DocumentError."""
         self._line += data
-        if len(self._line) + len(self._lines) > MOST:
-            raise DocumentError(f"a document over {MOST} bytes")
+        if len(self._line) + len(self._lines) > MAX_DOCUMENT_BYTES:
+            raise DocumentError(f"a document over {MAX_DOCUMENT_BYTES} bytes")
         *lines, rest = self._line.split(b"\n")
         self._line = bytearray(rest)
         return [document for line in lines if (document := self._take(bytes(line)))]
--- a/stonetrack/edge/hosts.py
+++ b/stonetrack/edge/engine_table.py
@@ -25,7 +25,7 @@
 }
 
 
-class HostsError(DocumentError):
+class ServerListError(DocumentError):
     """A document that can't be read; the text says why."""
 
 
@@ -61,7 +61,7 @@
     up: bool
 
 
-class Hosts:
+class EngineTable:
     """The list as last taken."""
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...], roles: tuple[api.Role, ...]) -> None:
@@ -72,21 +72,23 @@
         self.rev = -1
         self._starts = Starts()
         self._heard = False  # whether any list but the one that the configuration brought was taken
-        self.passed_over: list[str] = []  # what the last document held that can't be used
+        self.skipped: list[str] = []  # what the last document held that can't be used
 
-    def take(self, data: bytes, now: int, known: bool = False, fresh: bool = False) -> api.ServerList | None:
-        """The event of a document, None for one that is older than what is held.  Raises HostsError.
+    def apply(
+        self, data: bytes, now: int, from_config: bool = False, first_of_watch: bool = False
+    ) -> api.ServerList | None:
+        """The event of a document, None for one that is older than what is held.  Raises ServerListError.
 
         ``now`` is the node's clock in nanoseconds.
-        ``known`` marks the list that the configuration brought, ``fresh`` the first document of a watch.
+        ``from_config`` marks the list that the configuration brought, ``first_of_watch`` the first document of a watch.
         """
         try:
             document = msgspec.json.decode(data, type=Document)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise HostsError(f"{error}: {data[:80]!r}") from None
-        if document.rev < self.rev and not (document.all and fresh):
+            raise ServerListError(f"{error}: {data[:80]!r}") from None
+        if document.rev < self.rev and not (document.all and first_of_watch):
             return None
-        self.passed_over = []
+        self.skipped = []
         entries = [entry for target in document.targets if (entry := self._entry(target, now)) is not None]
         if document.all:
             listed = {entry.server for entry in entries}
@@ -95,8 +97,8 @@
             if entry.state is api.ServerState.REMOVED:
                 self.engines.pop(entry.server, None)
         self.rev = document.rev
-        self._heard = self._heard or not known
-        kind = api.ListKind.SAVED if known else api.ListKind.FULL if document.all else api.ListKind.CHANGES
+        self._heard = self._heard or not from_config
+        kind = api.ListKind.SAVED if from_config else api.ListKind.FULL if document.all else api.ListKind.CHANGES
         return api.ServerList(kind, document.rev, tuple(entries))
 
     def _entry(self, target: Target, now: int) -> api.ServerEntry | None:
@@ -121,4 +123,4 @@
         return api.ServerEntry(target.uid, zone, kind, target.pod_group, state, weight, started)
 
     def _pass(self, target: Target, why: str) -> None:
-        self.passed_over.append(f"{target.uid[:60]}: {why}")
+        self.skipped.append(f"{target.uid[:60]}: {why}")
--- a/stonetrack/edge/engines.py
+++ b/stonetrack/edge/engines.py
@@ -10,12 +10,12 @@
 from weakref import WeakKeyDictionary
 
 from stonetrack import api
-from stonetrack.edge.abandoned import AbandonedReads
-from stonetrack.edge.asks import ID, LEFT
-from stonetrack.edge.exchange import Exchange, ReadReport
-from stonetrack.edge.hosts import Engine
-from stonetrack.edge.leases import Leases, Settled
+from stonetrack.edge.abandoned import AbandonedPrefills
+from stonetrack.edge.engine_table import Engine
+from stonetrack.edge.exchange import Exchange, ParseLoadReport
 from stonetrack.edge.probes import Probes
+from stonetrack.edge.releases import Releases, ReleaseWaitResult
+from stonetrack.edge.requests import ID_HEADER, TIME_LEFT_HEADER
 from stonetrack.engines.attempt import SocketAttempt
 from stonetrack.engines.pool import Pool
 from stonetrack.node.ports import Ask, Attempt, Over
@@ -24,18 +24,18 @@
 from stonetrack.node.transitions import Step
 from stonetrack.wire import http1, writer
 
-SERVICE = "origin.svc"
-CONFIRM = 0.02  # seconds in which an engine may show that it saw an attempt taken back
+HOST = "origin.svc"
+CANCEL_CONFIRM_S = 0.02  # seconds in which an engine may show that it saw an attempt taken back
 _LIMITS = http1.Limits(head=16_384, headers=64, body=8 << 20)
 
 
-def request_bytes(ask: Ask, left: int) -> bytes:
+def build_request(ask: Ask, left: int) -> bytes:
     """One attempt's request; ``left`` nanoseconds is how long the node will wait."""
     body = ask.body
     headers = [
-        ("Host", SERVICE),
-        (ID.title(), ask.request),
-        (LEFT.title(), f"{max(left // 1_000_000, 1)}m"),
+        ("Host", HOST),
+        (ID_HEADER.title(), ask.request),
+        (TIME_LEFT_HEADER.title(), f"{max(left // 1_000_000, 1)}m"),
         *body.headers,
     ]
     return writer.request("POST", body.target, headers, body.data)
@@ -51,17 +51,17 @@
     def __init__(
         self,
         pool: Pool,
-        leases: Leases,
+        releases: Releases,
         probes: Probes,
         clock: Callable[[], int],
         connect_timeout: float,
-        read_report: ReadReport,
+        read_report: ParseLoadReport,
         trace: Callable[[str], None] | None = None,
         records: Records | None = None,
         closed_for: Callable[[str], int] = lambda server: 0,
-        abandoned: AbandonedReads | None = None,
+        abandoned: AbandonedPrefills | None = None,
     ) -> None:
-        self.pool, self.leases, self.probes, self.abandoned = pool, leases, probes, abandoned
+        self.pool, self.releases, self.probes, self.abandoned = pool, releases, probes, abandoned
         self._clock, self._connect, self._read_report = clock, connect_timeout, read_report
         self._engines: dict[str, Engine] = {}
         self._trace, self._records, self._closed_for = trace, records, closed_for
@@ -70,7 +70,7 @@
     def list_changed(self, engines: dict[str, Engine]) -> None:
         """Take the addresses of a new list; what is kept to others is closed."""
         self._engines = engines
-        self.leases.list_changed(engines)
+        self.releases.list_changed(engines)
         self.probes.list_changed(engines)
         self.pool.forget({(e.host, e.port) for e in engines.values()})
 
@@ -85,8 +85,8 @@
             # A release that is still open is tried on while this connects: an engine that is cut off takes all of
             # the time for connecting, and nothing of the request is out meanwhile.
             sock, age = self.pool.take(engine.host, engine.port, self._connect)
-            settled = self.leases.settle(ask.request)
-            if settled is not Settled.NOTHING and age is not None and readable(sock):
+            settled = self.releases.await_release(ask.request)
+            if settled is not ReleaseWaitResult.NONE_PENDING and age is not None and readable(sock):
                 close(sock)  # it was closed while the release was waited for
                 sock, age = self.pool.take(engine.host, engine.port, self._connect)
         except OSError as error:
@@ -95,7 +95,7 @@
             short = isinstance(error, MachineShort)  # no fault of the engine's
             outcome = api.Outcome.NOT_SENT if short else api.Outcome.CONNECT_FAILED
             return Over(outcome, f"engine {server}: {error}")
-        if settled is Settled.UNHEARD:
+        if settled is ReleaseWaitResult.UNACKNOWLEDGED:
             close(sock)  # not given back: nothing was heard on it
             return Over(api.Outcome.NOT_SENT, "an older release of the request is not heard yet")
         if not may_send(server):  # a list may have come while we connected
@@ -118,9 +118,9 @@
             )
         attempt = SocketAttempt(
             sock,
-            request_bytes(ask, left),
+            build_request(ask, left),
             Exchange(engine.role, _LIMITS, self._read_report, lambda: self.pool.unanswered(age)),
-            CONFIRM,
+            CANCEL_CONFIRM_S,
             lambda back: self.pool.give(engine.host, engine.port, back),
             api.Outcome.CONNECT_FAILED,
             self._abandon(ask.request, engine),
@@ -142,7 +142,7 @@
         """Attempts whose sockets are open, by server; only while there is a trace."""
         return Counter(server for attempt, server in list(self._traced.items()) if attempt.fileno() >= 0)
 
-    def kept(self, server: str) -> int:
+    def idle_connections(self, server: str) -> int:
         """Idle connections to a server."""
         engine = self._engines.get(server)
         return self.pool.kept(engine.host, engine.port) if engine is not None else 0
@@ -155,7 +155,7 @@
         """See ``ports.Engines.release``.  One call lets go of all that is held for a request, so with ``rest`` there
         is none: a place is given up by the send elsewhere, a writer that failed holds nothing of its own."""
         if not rest:
-            self.leases.release(request)
+            self.releases.release(request)
 
     def probe(self, server: str) -> None:
         """See ``ports.Engines.probe``."""
--- a/stonetrack/edge/exchange.py
+++ b/stonetrack/edge/exchange.py
@@ -34,7 +34,7 @@
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
 
-LOAD, UNPROCESSED = "x-backend-load", "x-unprocessed"
+LOAD_HEADER, UNPROCESSED_HEADER = "x-backend-load", "x-unprocessed"
 _COMMENT = re.compile(rb"^: ?X-Backend-Load: ?([^\r\n]{1,1000})$", re.IGNORECASE | re.MULTILINE)
 _CACHED = re.compile(rb'"cached_tokens" ?: ?([0-9]{1,9})')
 _NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?")
@@ -44,10 +44,10 @@
 _TAIL = 2_048  # last bytes of a stream that are looked at again
 _FIRST = 65_536  # bytes in which the first event must end
 
-ReadReport = Callable[[str], LoadReport | None]
+ParseLoadReport = Callable[[str], LoadReport | None]
 
 
-def report_pairs(text: str) -> str:
+def load_report_pairs(text: str) -> str:
     """``TEXT inflight=7, queue=2`` as the simulator's ``inflight:7,queue:2``; empty where it can't be read."""
     form, _, rest = text[:1_000].partition(" ")
     if form != "TEXT":
@@ -71,7 +71,7 @@
         self,
         role: Role,
         limits: http1.Limits,
-        read_report: ReadReport,
+        read_report: ParseLoadReport,
         unanswered: Callable[[], None] = lambda: None,
     ) -> None:
         self._reader = http1.MessageReader(http1.Side.RESPONSES, limits)
@@ -133,10 +133,10 @@
 
     def _report(self) -> LoadReport | None:
         """The stream's last comment, or else the head's field; a report that can't be read is none."""
-        told = self._head.headers.get(LOAD) if self._head is not None else ""
+        told = self._head.headers.get(LOAD_HEADER) if self._head is not None else ""
         for found in _COMMENT.findall(self._tail):
             told = found.decode("latin-1")
-        pairs = report_pairs(told)
+        pairs = load_report_pairs(told)
         return self._read_report(pairs) if pairs else None
 
     def _take(self, event: http1.Event, events: list[AttemptEvent]) -> None:
@@ -181,7 +181,7 @@
 
     def _whole(self, head: http1.ResponseHead, events: list[AttemptEvent]) -> None:
         """The message is complete."""
-        status, unprocessed = head.status, head.headers.get(UNPROCESSED) == "1"
+        status, unprocessed = head.status, head.headers.get(UNPROCESSED_HEADER) == "1"
         if self.began:
             found = _CACHED.findall(self._tail)
             self._end(Outcome.SERVED, events, kept_tokens=int(found[-1]) if found else 0)
--- a/stonetrack/edge/metrics.py
+++ b/stonetrack/edge/metrics.py
@@ -63,9 +63,9 @@
         for kind, count in (
             ("requests", node.core.open_requests),
             ("records", len(node.records)),
-            ("releases", node.leases.open),
+            ("releases", node.releases.open),
             ("abandoned_reads", len(node.abandoned)),
-            ("abandoned_connections", node.abandoned.watched),
+            ("abandoned_connections", node.abandoned.watched_connections),
             ("client_connections", node.host.connections),
             ("workers", node.host.workers),
         ):
--- a/stonetrack/edge/probes.py
+++ b/stonetrack/edge/probes.py
@@ -1,7 +1,7 @@
 """Load reports asked for: ``GET /metrics/load`` on a few threads over the shared pool.
 
 The router asks right before it sends a prompt, so an answer that comes late is of no use: what waits for a thread for
-longer than ``STALE`` is dropped, and the queue is short.
+longer than ``STALE_NS`` is dropped, and the queue is short.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 from collections.abc import Callable
 
 from stonetrack import api
-from stonetrack.edge.calls import Calls
-from stonetrack.edge.exchange import LOAD, ReadReport, report_pairs
-from stonetrack.edge.hosts import Engine
+from stonetrack.edge.calls import EngineCalls
+from stonetrack.edge.engine_table import Engine
+from stonetrack.edge.exchange import LOAD_HEADER, ParseLoadReport, load_report_pairs
 from stonetrack.node.sockets import MachineShort
 from stonetrack.node.threads import lasting
 from stonetrack.wire import writer
 
 PATH = "/metrics/load"
-TIMEOUT = 0.1  # seconds for one probe
-STALE = 50_000_000  # nanoseconds after which a probe that waits is not wanted any more
+TIMEOUT_S = 0.1  # seconds for one probe
+STALE_NS = 50_000_000  # nanoseconds after which a probe that waits is not wanted any more
 _MOST = 32  # waiting
 
 
@@ -29,9 +29,9 @@
 
     def __init__(
         self,
-        calls: Calls,
+        calls: EngineCalls,
         clock: Callable[[], int],
-        read_report: ReadReport,
+        read_report: ParseLoadReport,
         probed: Callable[[api.ProbeEnded], None],
         threads: int = 3,
         log: Callable[[str], None] = lambda text: None,
@@ -65,12 +65,12 @@
         while (job := self._jobs.get()) is not None:
             server, since = job
             engine = self._engines.get(server)
-            if engine is None or self._clock() - since > STALE:
+            if engine is None or self._clock() - since > STALE_NS:
                 continue
             message = writer.request("GET", PATH, [("Host", f"{engine.host}:{engine.port}")])
             report = None
             try:
-                answer = self._calls.call(engine, message, TIMEOUT)
+                answer = self._calls.call(engine, message, TIMEOUT_S)
             except MachineShort:
                 outcome = api.Outcome.NOT_SENT
             except TimeoutError:
@@ -79,6 +79,6 @@
                 outcome = api.Outcome.CONNECT_FAILED
             else:
                 outcome = api.Outcome.SERVED if answer.head.status == 200 else api.Outcome.ERROR
-                told = answer.head.headers.get(LOAD) or answer.body.decode("latin-1").strip()
-                report = self._read_report(pairs) if (pairs := report_pairs(told)) else None
+                told = answer.head.headers.get(LOAD_HEADER) or answer.body.decode("latin-1").strip()
+                report = self._read_report(pairs) if (pairs := load_report_pairs(told)) else None
             self._probed(api.ProbeEnded(server, outcome, self._clock() - since, report))
--- a/stonetrack/edge/leases.py
+++ b/stonetrack/edge/releases.py
@@ -6,8 +6,9 @@
 
 Order.  A release that is decided before an attempt reaches an engine before it: one that came during the new read would
 let go of what that reads (seen: 3 of 5 reads done anew ended at the writer as 410).  So an attempt that has its
-connection waits for its request's release, ``SETTLE`` at most; while that is not heard the attempt does not begin.  A
-release is never dropped for an attempt: the attempt may not arrive, and then nobody would release what is held.
+connection waits for its request's release, ``RELEASE_WAIT_S`` at most; while that is not heard the attempt does not
+begin.  A release is never dropped for an attempt: the attempt may not arrive, and then nobody would release what is
+held.
 
 What a prefill attempt may yet leave that was given up is owed beyond that (:mod:`.abandoned`).
 """
@@ -18,8 +19,8 @@
 from collections.abc import Callable
 from enum import Enum
 
-from stonetrack.edge.calls import Calls
-from stonetrack.edge.hosts import Engine
+from stonetrack.edge.calls import EngineCalls
+from stonetrack.edge.engine_table import Engine
 from stonetrack.engines.releases import Heard, Item
 from stonetrack.engines.releasing import Releasing
 from stonetrack.node.records import Records
@@ -27,20 +28,20 @@
 from stonetrack.wire import writer
 
 PATH = "/kv/leases/"
-RELEASE_TIMEOUT = 0.12  # seconds; where any engine may answer, the next is tried after that
-ASK_TIMEOUT = 1.0  # seconds; one that stands still answers what lies there once it goes on
-SETTLE = 0.3  # seconds for which an attempt waits for an older release of its request: two tries of it
+RELEASE_TIMEOUT_S = 0.12  # seconds; where any engine may answer, the next is tried after that
+OWN_RELEASE_TIMEOUT_S = 1.0  # seconds; one that stands still answers what lies there once it goes on
+RELEASE_WAIT_S = 0.3  # seconds for which an attempt waits for an older release of its request: two tries of it
 
 
-class Settled(Enum):
+class ReleaseWaitResult(Enum):
     """What became of a request's release before its new attempt."""
 
-    NOTHING = "there was none"
-    HEARD = "heard"
-    UNHEARD = "not heard: the attempt may not begin"
+    NONE_PENDING = "there was none"
+    ACKNOWLEDGED = "heard"
+    UNACKNOWLEDGED = "not heard: the attempt may not begin"
 
 
-def pick(
+def choose_engine(
     engines: list[Engine], heard: Callable[[Engine], float], suspects: dict[str, int], now: int, tried: set[str]
 ) -> Engine | None:
     """The engine for a release's next try: not one that it was sent to already, nor one that failed of late; up; the
@@ -54,12 +55,12 @@
     return best
 
 
-class Leases:
+class Releases:
     """Runs the calls on a few threads."""
 
     def __init__(
         self,
-        calls: Calls,
+        calls: EngineCalls,
         clock: Callable[[], int],
         release_within: int,
         threads: int = 3,
@@ -68,7 +69,7 @@
     ) -> None:
         self._calls, self._clock, self._records = calls, clock, records
         self._engines: dict[str, Engine] = {}
-        self._releasing = Releasing(clock, release_within, threads, self.try_any, self._over, log=log)
+        self._releasing = Releasing(clock, release_within, threads, self.try_any_engine, self._over, log=log)
         self._open: dict[str, int] = {}  # releases that wait, by request; guarded as the book is
 
     def start(self) -> None:
@@ -95,15 +96,15 @@
             time.sleep(0.01)
         return not self.open
 
-    def settle(self, request: str) -> Settled:
+    def await_release(self, request: str) -> ReleaseWaitResult:
         """A new attempt has its connection: see that what was decided before comes before it, or not at all.
 
         Owed: ``Obligation.RELEASE``."""
         if request not in self._open:
-            return Settled.NOTHING
+            return ReleaseWaitResult.NONE_PENDING
         with self._releasing.changed:
-            heard = self._releasing.settle(lambda: request not in self._open, SETTLE)
-            return Settled.HEARD if heard else Settled.UNHEARD
+            heard = self._releasing.settle(lambda: request not in self._open, RELEASE_WAIT_S)
+            return ReleaseWaitResult.ACKNOWLEDGED if heard else ReleaseWaitResult.UNACKNOWLEDGED
 
     def release(self, request: str) -> None:
         """Let go of all that is held for a request."""
@@ -123,23 +124,23 @@
         if self._open.get(item.request) == number:
             del self._open[item.request]
 
-    def try_any(self, item: Item) -> Heard:
+    def try_any_engine(self, item: Item) -> Heard:
         """One try of a release, at the engine that is likeliest to hear it.  Owed: ``Obligation.RELEASE``."""
         engines = list(self._engines.values())
-        engine = pick(engines, self._calls.heard, self._calls.suspects, self._clock(), item.tried)
+        engine = choose_engine(engines, self._calls.last_heard, self._calls.suspect_until, self._clock(), item.tried)
         if engine is None:
             return Heard.AGAIN
         try:
-            return self._call(engine, item.request, item.decided, RELEASE_TIMEOUT)
+            return self._call(engine, item.request, item.decided, RELEASE_TIMEOUT_S)
         except OSError as error:
             self._note(item.request, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided=item.decided)
             return Heard.AGAIN  # the next try goes to another engine
 
-    def try_one(self, engine: Engine, request: str) -> Heard:
+    def try_one_engine(self, engine: Engine, request: str) -> Heard:
         """One try of a release at one engine, at its present address."""
         listed = self._engines.get(engine.name)
         try:
-            return self._call(listed or engine, request, self._clock(), ASK_TIMEOUT)
+            return self._call(listed or engine, request, self._clock(), OWN_RELEASE_TIMEOUT_S)
         except ConnectionRefusedError:
             return Heard.DONE  # its process is gone, with all that it held
         except OSError:
--- a/stonetrack/edge/ids.py
+++ b/stonetrack/edge/request_ids.py
@@ -9,11 +9,11 @@
 from collections import OrderedDict
 
 SECOND = 1_000_000_000
-REMEMBERED = 60 * SECOND  # longer than any attempt, state or place of a request lasts
-MOST = 4_096  # ids remembered; past that the oldest are forgotten first
+RETENTION_NS = 60 * SECOND  # longer than any attempt, state or place of a request lasts
+MAX_IDS = 4_096  # ids remembered; past that the oldest are forgotten first
 
 
-class SeenIds:
+class RecentRequestIds:
     """The ids taken so far; times in nanoseconds of one clock.  Not safe for several threads."""
 
     def __init__(self) -> None:
@@ -22,9 +22,9 @@
     def __len__(self) -> int:
         return len(self._taken)
 
-    def take(self, request: str, now: int) -> bool:
+    def add(self, request: str, now: int) -> bool:
         """Take an id; False where it was taken of late."""
-        while self._taken and (now - next(iter(self._taken.values())) > REMEMBERED or len(self._taken) >= MOST):
+        while self._taken and (now - next(iter(self._taken.values())) > RETENTION_NS or len(self._taken) >= MAX_IDS):
             self._taken.popitem(last=False)
         if request in self._taken:
             return False
--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -2,7 +2,8 @@
 
 Signals are waited for by the main thread alone (``sigtimedwait``), blocked everywhere else, so that none can come
 between two steps of anything.  TERM: for a while clients still come, and what they send counts as taken; so accepting
-goes on for ``COMING`` seconds, with answers that close their connections; idle ones are closed at once.  What comes
+goes on for ``ACCEPTING_S`` seconds, with answers that close their connections; idle ones are closed at once.
+What comes
 later is refused at once, since the end may come before its answer; the rest is served to its end.  HUP: the
 file is read again; a new address of discovery is followed from then on, and all else stays: router, tables,
 requests, connections.  What can't be read changes nothing.
@@ -22,18 +23,18 @@
 from stonetrack import simulator_adapter
 from stonetrack.api import Action, Event, LoadReport
 from stonetrack.clocks import node_clock
-from stonetrack.edge import asks, metrics
-from stonetrack.edge.abandoned import AbandonedReads
-from stonetrack.edge.budget import divide
-from stonetrack.edge.calls import Calls
-from stonetrack.edge.config import Config, ConfigError, another_deployment, parse
+from stonetrack.edge import metrics, requests
+from stonetrack.edge.abandoned import AbandonedPrefills
+from stonetrack.edge.budget import divide_budget
+from stonetrack.edge.calls import EngineCalls
+from stonetrack.edge.config import Config, ConfigError, deployment_mismatch, parse
+from stonetrack.edge.engine_table import EngineTable, ServerListError
 from stonetrack.edge.engines import EdgeEngines
-from stonetrack.edge.hosts import Hosts, HostsError
-from stonetrack.edge.ids import SeenIds
-from stonetrack.edge.leases import Leases
 from stonetrack.edge.probes import Probes
-from stonetrack.edge.sink import EdgeSink, whole
-from stonetrack.edge.watch import Watch
+from stonetrack.edge.releases import Releases
+from stonetrack.edge.request_ids import RecentRequestIds
+from stonetrack.edge.sink import EdgeSink, plain_response
+from stonetrack.edge.watch import DiscoveryWatch
 from stonetrack.engines.pool import Pool
 from stonetrack.frontend.connection import Connection, Request
 from stonetrack.frontend.host import Host, listen
@@ -43,15 +44,15 @@
 from stonetrack.settings.schema import Limits, Timing
 
 SECOND = 1_000_000_000
-STACK = 256 * 1024
-BODY = 262_144  # bytes, the protocol's bound
-SILENCE = 4 * SECOND + SECOND // 2  # a stream without an event for so long has broken
-STALL = 10 * SECOND  # a client that takes nothing for so long has gone
-COMING = 0.55  # seconds after TERM in which clients still come (0.2 to 0.4 by the protocol); 0.7 are too many
-LONGEST_COUNTED = 3.0  # seconds of the longest deadline that count, after TERM, until KILL may come
-KILLED_BEHIND = 0.7  # seconds more
-KILL_MARGIN = 0.3  # seconds before that by which the node has ended
-LAST_RELEASES = 0.5  # seconds after the last answer in which releases may still be heard, however late that comes
+STACK_BYTES = 256 * 1024
+MAX_BODY_BYTES = 262_144  # bytes, the protocol's bound
+STREAM_SILENCE_NS = 4 * SECOND + SECOND // 2  # a stream without an event for so long has broken
+CLIENT_STALL_NS = 10 * SECOND  # a client that takes nothing for so long has gone
+ACCEPTING_S = 0.55  # seconds after TERM in which clients still come (0.2 to 0.4 by the protocol); 0.7 are too many
+MAX_COUNTED_DEADLINE_S = 3.0  # seconds of the longest deadline that count, after TERM, until KILL may come
+KILL_AFTER_DEADLINE_S = 0.7  # seconds more
+KILL_MARGIN_S = 0.3  # seconds before that by which the node has ended
+LAST_RELEASES_S = 0.5  # seconds after the last answer in which releases may still be heard, however late that comes
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
 
 
@@ -68,28 +69,28 @@
     def __init__(self, config: Config, traced: bool = False) -> None:
         self.config, self._traced = config, traced
         self.clock = node_clock()
-        budget = divide(config.limits.sockets, config.limits.memory_mb)
-        self._told = simulator_adapter.Instance({**config.pairs, "entropy": str(config.seed)})
+        budget = divide_budget(config.limits.sockets, config.limits.memory_mb)
+        self._told = simulator_adapter.Instance({**config.settings_pairs, "entropy": str(config.seed)})
         record = self._recorder() if traced else None
         self.core = Core(
             self._told.router,
             self.clock,
             log=log,
             probe=self._probe,
-            release=lambda request: self.leases.release(request),
+            release=lambda request: self.releases.release(request),
             record=record,
         )
         settings = config.settings
-        self.pool = Pool(budget.kept, config.connection_idle / SECOND / 2, budget.kept)
+        self.pool = Pool(budget.idle_connections, config.engine_idle_ns / SECOND / 2, budget.idle_connections)
         connect = max(settings.connect_timeout, 1) / SECOND
-        self.calls = Calls(self.pool, self.clock, connect)
+        self.calls = EngineCalls(self.pool, self.clock, connect)
         self.records = Records(self.clock, settings.release_within, log, log_all=traced)
-        self.leases = Leases(self.calls, self.clock, settings.release_within, log=log, records=self.records)
-        self.abandoned = AbandonedReads(
+        self.releases = Releases(self.calls, self.clock, settings.release_within, log=log, records=self.records)
+        self.abandoned = AbandonedPrefills(
             self.clock,
             settings.release_within,
-            self.leases.try_any,
-            self.leases.try_one,
+            self.releases.try_any_engine,
+            self.releases.try_one_engine,
             self.records.needs_state,
             budget.abandoned,
             log,
@@ -97,7 +98,7 @@
         self.probes = Probes(self.calls, self.clock, self._report, self.core.tell, log=log)
         self.engines = EdgeEngines(
             self.pool,
-            self.leases,
+            self.releases,
             self.probes,
             self.clock,
             connect,
@@ -107,14 +108,14 @@
             self.core.closed_for,
             self.abandoned,
         )
-        self.hosts = Hosts(config.kinds, config.zones, tuple(kind.role for kind in settings.kinds))
+        self.engine_table = EngineTable(config.kinds, config.zones, tuple(kind.role for kind in settings.kinds))
         self.classes = {cls.name: n for n, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
-        self.bounds = Bounds(SILENCE, STALL, 64 << 10)
-        self.watch = Watch(config.discovery, lambda: self.hosts.rev, self._document, log)
+        self.bounds = Bounds(STREAM_SILENCE_NS, CLIENT_STALL_NS, 64 << 10)
+        self.watch = DiscoveryWatch(config.discovery, lambda: self.engine_table.rev, self._document, log)
         self._passed_over: frozenset[str] = frozenset()  # what the last list held that can't be used, and was said
         self._last_call = 0  # monotonic ns from which on requests are refused; 0 for never
-        self._ids = SeenIds()
+        self._ids = RecentRequestIds()
         self._ids_lock = threading.Lock()
         self.host = Host(
             listen(*config.listen, 1024),
@@ -123,12 +124,12 @@
                 workers=budget.requests,
                 head_bytes=16_384,
                 headers=64,
-                body_bytes=BODY,
+                body_bytes=MAX_BODY_BYTES,
                 socket_send_bytes=0,
             ),
-            Timing(header_ms=2_000, body_ms=2_500, idle_ms=2_500, client_stall_ms=STALL // 1_000_000),
+            Timing(header_ms=2_000, body_ms=2_500, idle_ms=2_500, client_stall_ms=CLIENT_STALL_NS // 1_000_000),
             self.handle,
-            whole,
+            plain_response,
             log,
             budget.wakers,
         )
@@ -151,28 +152,29 @@
     def _document(self, data: bytes, fresh: bool, known: bool = False) -> None:
         """Take a list: addresses first, since the router may send to what it is told of at once.
 
-        Raises HostsError for one that can't be read: what it told has to be asked for again, from the version held."""
-        event = self.hosts.take(data, self.clock(), known, fresh)
+        Raises ServerListError for one that can't be read: what it told has to be asked for again, from the version
+        held."""
+        event = self.engine_table.apply(data, self.clock(), known, fresh)
         if event is None:
             return
-        for each in self.hosts.passed_over:
+        for each in self.engine_table.skipped:
             if each not in self._passed_over:
                 log(f"server list: passed over {each}")
-        self._passed_over = frozenset(self.hosts.passed_over)
-        self.calls.forget(set(self.hosts.engines))
-        self.engines.list_changed(dict(self.hosts.engines))
+        self._passed_over = frozenset(self.engine_table.skipped)
+        self.calls.retain(set(self.engine_table.engines))
+        self.engines.list_changed(dict(self.engine_table.engines))
         self.core.tell(event)
 
     def start(self) -> None:
         """Take the list that came along, follow discovery, accept clients."""
         self.core.start()
-        self.leases.start()
+        self.releases.start()
         self.abandoned.start()
         self.probes.start()
-        if self.config.known:
+        if self.config.initial_list:
             try:
-                self._document(self.config.known, fresh=True, known=True)
-            except HostsError as error:
+                self._document(self.config.initial_list, fresh=True, known=True)
+            except ServerListError as error:
                 log(f"the list that the configuration brought is passed over: {error}")
         self.watch.start()
         self.host.start()
@@ -183,7 +185,7 @@
         self.host.stop()
         self.core.stop()
         self.abandoned.stop()
-        self.leases.stop()
+        self.releases.stop()
         self.probes.stop()
         self.pool.close()
 
@@ -197,17 +199,17 @@
             return sink.respond(200, "up" if head.method == "GET" else "")
         if head.path == "/metrics" and head.method == "GET":
             return sink.respond(200, metrics.exposition(self))
-        if head.path != asks.CHAT or head.method != "POST":
-            return sink.respond(404, f"allowed: POST {asks.CHAT}, GET /up, GET /metrics")
+        if head.path != requests.CHAT_PATH or head.method != "POST":
+            return sink.respond(404, f"allowed: POST {requests.CHAT_PATH}, GET /up, GET /metrics")
         if self._last_call and request.arrived > self._last_call:
             return sink.respond(503, "this node is leaving: try again elsewhere")
         try:
             waited = time.monotonic_ns() - request.arrived
-            ask = asks.ask(head, request.body, self.classes, waited, self.clock(), self.tenants)
-        except asks.BadAsk as error:
+            ask = requests.parse_request(head, request.body, self.classes, waited, self.clock(), self.tenants)
+        except requests.BadRequest as error:
             return sink.respond(error.status, str(error))
         with self._ids_lock:
-            new = self._ids.take(ask.request, self.clock())
+            new = self._ids.add(ask.request, self.clock())
         if not new:
             return sink.respond(409, f"request {ask.request} has come before: every request needs an id of its own")
         cls = self.config.settings.classes[ask.class_index]
@@ -227,52 +229,54 @@
         except (OSError, ConfigError) as error:
             log(f"configuration refused, nothing changed: {error}")
             return
-        if other := another_deployment(self.config, config):
+        if other := deployment_mismatch(self.config, config):
             log(f"configuration refused, nothing changed: {path}: {other}")
             return
         log(f"configuration read again: discovery at {config.discovery[0]}:{config.discovery[1]}")
-        self.watch.move(config.discovery)
+        self.watch.change_address(config.discovery)
 
-    def tend(self) -> None:
+    def maintain(self) -> None:
         """What is looked after about once a second."""
         self.pool.prune()
         self.records.check()
         if self._traced:
-            from stonetrack.edge.trace import beliefs
+            from stonetrack.edge.trace import server_lines
 
             lines: list[str] = []
             open_at = self.engines.open_attempts()
-            self.core.still(lambda: lines.extend(beliefs(self._told.router, open_at, self.engines.kept)))
+            self.core.still(
+                lambda: lines.extend(server_lines(self._told.router, open_at, self.engines.idle_connections))
+            )
             for line in lines:
                 log(f"trace belief {line}")
 
     def _time_to_end(self) -> float:
         """Seconds after TERM in which the node is not killed yet."""
         longest = max(cls.deadline for cls in self.config.settings.classes) / SECOND
-        return min(longest, LONGEST_COUNTED) + KILLED_BEHIND - KILL_MARGIN
+        return min(longest, MAX_COUNTED_DEADLINE_S) + KILL_AFTER_DEADLINE_S - KILL_MARGIN_S
 
     def drain(self) -> None:
         """Serve what was taken to its end; signals that come meanwhile change nothing."""
         told = time.monotonic()
-        self._last_call = time.monotonic_ns() + int(COMING * SECOND)
+        self._last_call = time.monotonic_ns() + int(ACCEPTING_S * SECOND)
         self.host.leave()
-        time.sleep(COMING)
+        time.sleep(ACCEPTING_S)
         self.host.drain(sweep=True)
         while self.core.open_requests:
             time.sleep(0.02)
         # What still comes is read and answered meanwhile: a sealed host would leave it to the end of the process.
-        until = max(told + self._time_to_end(), time.monotonic() + LAST_RELEASES)
-        while (self.leases.open or len(self.abandoned)) and time.monotonic() < until:
+        until = max(told + self._time_to_end(), time.monotonic() + LAST_RELEASES_S)
+        while (self.releases.open or len(self.abandoned)) and time.monotonic() < until:
             time.sleep(0.02)
         while self.core.open_requests or not self.host.seal():
             time.sleep(0.02)
-        self.leases.wait(1.0)
+        self.releases.wait(1.0)
 
 
 def run(environ: Mapping[str, str]) -> int:
     """Serve until TERM; the exit code."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    threading.stack_size(STACK)
+    threading.stack_size(STACK_BYTES)
     where = environ.get("EDGE_CONFIG", "")
     if not where:
         log("EDGE_CONFIG is not set; it names the node's configuration, a JSON file")
@@ -292,7 +296,7 @@
         got = signal.sigtimedwait(SIGNALS, 1.0)
         # A process that was stopped beyond the time-out gets a record that nobody filled in (CPython 3.11: EINTR).
         if got is None or got.si_signo not in SIGNALS:
-            node.tend()
+            node.maintain()
         elif got.si_signo == signal.SIGHUP:
             node.reload(path)
         else:
--- a/stonetrack/edge/sink.py
+++ b/stonetrack/edge/sink.py
@@ -14,12 +14,12 @@
 SECOND = 1e9
 
 
-def retry_after(nanoseconds: int) -> tuple[tuple[str, str], ...]:
+def retry_after_headers(nanoseconds: int) -> tuple[tuple[str, str], ...]:
     """The advice in seconds, decimal where it is under way of one; none for none."""
     return (("Retry-After", f"{nanoseconds / SECOND:g}"),) if nanoseconds > 0 else ()
 
 
-def whole(status: int, text: str, headers: tuple[tuple[str, str], ...] = (), keep: bool = False) -> bytes:
+def plain_response(status: int, text: str, headers: tuple[tuple[str, str], ...] = (), keep: bool = False) -> bytes:
     """One whole answer in plain text; the connection closes after it unless kept."""
     return plain(status, f"{text}\n".encode(), headers, "text/plain; charset=utf-8", keep)
 
@@ -27,13 +27,13 @@
 class EdgeSink(ConnectionSink):
     """One request's answer on its client's connection."""
 
-    __slots__ = ("_head", "ended", "keep", "request")
+    __slots__ = ("_head", "final_kind", "keep", "request")
 
     def __init__(self, connection: Connection, request: Request) -> None:
         super().__init__(connection)
         self.request = request
         self.keep = request.head.keep_alive
-        self.ended = ""
+        self.final_kind = ""
         self._head = b""
 
     def begin(self) -> None:
@@ -53,9 +53,9 @@
 
     def finish(self, final: ports.Final) -> None:
         """The one final answer."""
-        if self.ended:
-            raise RuntimeError(f"a second final answer ({type(final).__name__} after {self.ended})")
-        self.ended = type(final).__name__.lower()
+        if self.final_kind:
+            raise RuntimeError(f"a second final answer ({type(final).__name__} after {self.final_kind})")
+        self.final_kind = type(final).__name__.lower()
         match final:
             case ports.Served():
                 if self.request.head.chunks:
@@ -63,7 +63,7 @@
             case ports.Broken():
                 self.keep = False  # the connection ends without the last chunk
             case ports.Refused(after):
-                self.respond(503, "refused: try again", retry_after(after))
+                self.respond(503, "refused: try again", retry_after_headers(after))
             case ports.Failed(why):
                 self.respond(502, f"failed: {why}")
             case ports.Rejected(status):
@@ -72,5 +72,5 @@
     def respond(self, status: int, text: str, headers: tuple[tuple[str, str], ...] = ()) -> bool:
         """One whole answer; whether the connection may be kept."""
         self.keep = self.keep and not self.connection.last
-        self.connection.write(whole(status, text, headers, self.keep))
+        self.connection.write(plain_response(status, text, headers, self.keep))
         return self.keep
--- a/stonetrack/edge/trace.py
+++ b/stonetrack/edge/trace.py
@@ -28,7 +28,7 @@
     return record
 
 
-def beliefs(router: Router, open_at: Mapping[str, int], kept_at: Callable[[str], int]) -> list[str]:
+def server_lines(router: Router, open_at: Mapping[str, int], kept_at: Callable[[str], int]) -> list[str]:
     """One line for each server with anything out, waiting, paused or cold: counts as the router books them, then
     attempts open and connections kept as the sockets have them."""
     lines = []
--- a/stonetrack/node/obligations.py
+++ b/stonetrack/node/obligations.py
@@ -87,7 +87,7 @@
         "a prefill attempt that was written whole ends without its engine's word",
         "its connection has ended, and its engine has answered a release that was written after the giving up",
         "the settings' time and 0.3 s after each moment from which its engine may have left a state",
-        ("stonetrack.edge.abandoned:AbandonedReads._look",),
+        ("stonetrack.edge.abandoned:AbandonedPrefills._release_due",),
         (ORACLE + "_held", ENGINES + "read"),
     ),
     Row(
@@ -95,7 +95,7 @@
         "it is decided",
         "the engine that was called answers it, below 500, on the call's connection",
         "that of what it releases; before the next attempt of its request",
-        ("stonetrack.edge.leases:Leases.try_any", "stonetrack.edge.leases:Leases.settle"),
+        ("stonetrack.edge.releases:Releases.try_any_engine", "stonetrack.edge.releases:Releases.await_release"),
         (LEDGER + "note", ENGINES + "release"),
     ),
     Row(
@@ -103,7 +103,7 @@
         "discovery has written it to the node, or a watch has been silent for 6 s",
         "no attempt begins at the engine any more",
         "the settings' grace",
-        ("stonetrack.node.core:Core.may_send", "stonetrack.edge.watch:Watch"),
+        ("stonetrack.node.core:Core.may_send", "stonetrack.edge.watch:DiscoveryWatch"),
         (LEDGER + "may_begin", ORACLE + "_drains"),
     ),
 )
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -77,7 +77,7 @@
         router.requests  # type: ignore[attr-defined]
         or any(s.waiting or s.streams or s.states or s.work_out for s in servers)
         or made.core.open_requests
-        or made.leases.open
+        or made.releases.open
     )
 
 
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -14,8 +14,8 @@
 import pytest
 
 from stonetrack.api import Effect, Outcome, Role
-from stonetrack.edge.abandoned import BLIND, INFORMED, AbandonedReads
-from stonetrack.edge.hosts import Engine
+from stonetrack.edge.abandoned import CONFIRMED_RELEASES, UNCONFIRMED_RELEASES, AbandonedPrefills
+from stonetrack.edge.engine_table import Engine
 from stonetrack.engines.releases import Heard, Item
 from stonetrack.node.invariants import ARRIVING, MS, Ledger
 from stonetrack.node.transitions import Step, Transition
@@ -51,8 +51,8 @@
 
 
 @pytest.fixture
-def book(script: Script) -> Iterator[AbandonedReads]:
-    made = AbandonedReads(
+def book(script: Script) -> Iterator[AbandonedPrefills]:
+    made = AbandonedPrefills(
         time.monotonic_ns, WITHIN, script.release, script.ask, lambda request: script.needed, 2, print, most=4
     )
     made.start()
@@ -77,45 +77,47 @@
 
 
 def test_a_broken_connection_is_owed_releases_of_which_its_engine_answers_one(
-    book: AbandonedReads, script: Script
+    book: AbandonedPrefills, script: Script
 ) -> None:
     book.add("q", engine(), None)
     assert wait_for(lambda: not len(book), 2.0)
-    assert script.asked == ["q"] and script.released == ["q"] * BLIND
+    assert script.asked == ["q"] and script.released == ["q"] * UNCONFIRMED_RELEASES
     assert book.counts.paid == book.counts.given_up == 1
 
 
 def test_what_comes_on_the_connection_is_followed_by_a_release_at_once(
-    book: AbandonedReads, script: Script, pairs: Pairs
+    book: AbandonedPrefills, script: Script, pairs: Pairs
 ) -> None:
     for said in (b"HTTP/1.1 202 Accepted\r\n\r\n", b""):
         ours, theirs = pairs.pop()
         book.add("q", engine(), ours)
-        assert wait_for(lambda: len(script.asked) == 1 and len(script.released) == BLIND, 2.0)
+        assert wait_for(lambda: len(script.asked) == 1 and len(script.released) == UNCONFIRMED_RELEASES, 2.0)
         time.sleep(2.5 * WITHIN / 1e9)
-        assert len(book) == 1 and len(script.released) == BLIND, "its engine has answered, its connection is silent"
+        assert len(book) == 1 and len(script.released) == UNCONFIRMED_RELEASES, (
+            "its engine has answered, its connection is silent"
+        )
         before = time.monotonic()
         theirs.sendall(said) if said else theirs.close()
         assert wait_for(lambda: len(script.asked) == 2, 1.0) and time.monotonic() - before < 0.1
         assert wait_for(lambda: not len(book), 1.0) and ours.fileno() == -1
-        assert len(script.released) == BLIND + INFORMED - 1
+        assert len(script.released) == UNCONFIRMED_RELEASES + CONFIRMED_RELEASES - 1
         script.asked.clear()
         script.released.clear()
 
 
-def test_an_engine_that_is_away_is_owed_a_release_until_it_answers_one(book: AbandonedReads, script: Script) -> None:
+def test_an_engine_that_is_away_is_owed_a_release_until_it_answers_one(book: AbandonedPrefills, script: Script) -> None:
     script.there = False
     book.add("q", engine(), None)
-    assert wait_for(lambda: len(script.released) == BLIND and len(script.asked) > 3, 2.0)
+    assert wait_for(lambda: len(script.released) == UNCONFIRMED_RELEASES and len(script.asked) > 3, 2.0)
     time.sleep(0.3)
-    assert len(book) == 1 and script.released == ["q"] * BLIND, "another engine's answers prove nothing"
+    assert len(book) == 1 and script.released == ["q"] * UNCONFIRMED_RELEASES, "another engine's answers prove nothing"
     script.there, tries = True, len(script.asked)
     assert wait_for(lambda: not len(book), 2.0)
-    assert len(script.asked) == tries + 1 and len(script.released) == BLIND + INFORMED
+    assert len(script.asked) == tries + 1 and len(script.released) == UNCONFIRMED_RELEASES + CONFIRMED_RELEASES
 
 
 def test_an_engine_that_was_away_is_asked_at_once_when_it_says_something(
-    book: AbandonedReads, script: Script, pairs: Pairs
+    book: AbandonedPrefills, script: Script, pairs: Pairs
 ) -> None:
     """Its next try would come after two seconds only: for a state that is there, too late."""
     script.there = False
@@ -131,7 +133,7 @@
 
 
 def test_nothing_is_released_under_an_attempt_that_needs_it_unless_a_state_is_known_to_be_there(
-    book: AbandonedReads, script: Script, pairs: Pairs
+    book: AbandonedPrefills, script: Script, pairs: Pairs
 ) -> None:
     script.needed = True
     ours, theirs = pairs.pop()
@@ -148,12 +150,12 @@
 
 
 def test_debts_and_connections_are_bounded_and_what_is_dropped_is_counted(
-    book: AbandonedReads, script: Script, pairs: Pairs
+    book: AbandonedPrefills, script: Script, pairs: Pairs
 ) -> None:
     script.needed = True
     for n, (ours, _) in enumerate(pairs):
         book.add(f"q{n}", engine(), ours)
-    assert book.watched == 2 and book.counts.connections_dropped == 2 and len(book) == 4
+    assert book.watched_connections == 2 and book.counts.connections_dropped == 2 and len(book) == 4
     assert [ours.fileno() == -1 for ours, _ in pairs] == [True, True, False, False]
     book.add("q4", engine(), None)
     book.add("q5", engine(), None)
@@ -162,7 +164,9 @@
     assert not len(book) and pairs[3][0].fileno() == -1
 
 
-def test_releases_of_many_engines_that_come_back_take_no_thread_of_others(book: AbandonedReads, script: Script) -> None:
+def test_releases_of_many_engines_that_come_back_take_no_thread_of_others(
+    book: AbandonedPrefills, script: Script
+) -> None:
     entered, go_on = threading.Semaphore(0), threading.Event()
 
     def stuck(item: Item) -> Heard:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -269,16 +269,16 @@
 def test_what_a_list_that_can_not_be_read_told_is_asked_for_again(capfd: pytest.CaptureFixture[str]) -> None:
     """It was passed over, the version of the next one taken, and what it had told was lost for good."""
     with platform() as world, node(world) as made:
-        assert wait_for(lambda: made.hosts.rev == 1 and len(world.discovery.asked) == 1)
+        assert wait_for(lambda: made.engine_table.rev == 1 and len(world.discovery.asked) == 1)
         whole = world.document
         broken = b'{"rev": 2, "all": false, "targets": [{"uid": 7}]}'
         world.document = lambda node=0: broken  # type: ignore[method-assign]
         world.change("w0", "DRAINING")
         assert wait_for(lambda: len(world.discovery.asked) > 3)
-        assert made.hosts.rev == 1 and made.hosts.engines["w0"].up
+        assert made.engine_table.rev == 1 and made.engine_table.engines["w0"].up
         assert all(target.endswith("&after=1") for target in world.discovery.asked[1:])
         world.document = whole  # type: ignore[method-assign]
-        assert wait_for(lambda: not made.hosts.engines["w0"].up)
+        assert wait_for(lambda: not made.engine_table.engines["w0"].up)
     said = [line for line in capfd.readouterr().err.splitlines() if "Expected `str`" in line]
     assert len(said) == 1, said  # once, not at every try
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -13,15 +13,15 @@
 
 from stonetrack import api
 from stonetrack.edge import (
-    asks,
     budget,
     calls,
     config,
     documents,
+    engine_table,
     exchange,
-    hosts,
-    ids,
-    leases,
+    releases,
+    request_ids,
+    requests,
     watch,
 )
 from stonetrack.engines.pool import Pool
@@ -64,9 +64,9 @@
     assert [k.role for k in told.settings.kinds] == [READER, WRITER] and told.settings.kinds[1].memory_tokens == 144_079
     assert told.settings.may_hold_place and told.settings.report_source is api.ReportSource.ANSWERS
     assert (told.settings.router, told.settings.routers, told.settings.zone) == (1, 2, 1)
-    assert told.connection_idle == 30_000_000_000 and told.zones == ("a", "b") and told.seed == 0x8C1F30D27A5BE964
-    assert told.pairs["family_info.report_x0"] == "share_of_memory_that_is_held"
-    assert json.loads(told.known) == {"rev": 4, "all": True, "targets": []}
+    assert told.engine_idle_ns == 30_000_000_000 and told.zones == ("a", "b") and told.seed == 0x8C1F30D27A5BE964
+    assert told.settings_pairs["family_info.report_x0"] == "share_of_memory_that_is_held"
+    assert json.loads(told.initial_list) == {"rev": 4, "all": True, "targets": []}
 
 
 @pytest.mark.parametrize(("more", "said"), [
@@ -95,18 +95,18 @@
 def head(**changes: str | None) -> http1.RequestHead:
     fields = {**GOOD, **{name.replace("_", "-"): value for name, value in changes.items()}}
     items = [(name.lower(), value) for name, value in fields.items() if value is not None]
-    return http1.RequestHead("POST", asks.CHAT, http1.Headers(items), True, 3)
+    return http1.RequestHead("POST", requests.CHAT_PATH, http1.Headers(items), True, 3)
 
 
 def test_a_head_becomes_an_ask() -> None:
-    made = asks.ask(head(X_Repeat="1"), b"{}", {"chat": 0, "plan": 1}, 100_000_000, 7_000_000_000, {})
+    made = requests.parse_request(head(X_Repeat="1"), b"{}", {"chat": 0, "plan": 1}, 100_000_000, 7_000_000_000, {})
     assert (made.request, made.class_index, made.session) == ("9b1f03aa5c7e2d41", 1, "7f")
-    assert made.time_left == 4_700_000_000 - asks.MARGIN and made.body.deadline == 11_700_000_000
+    assert made.time_left == 4_700_000_000 - requests.ANSWER_MARGIN_NS and made.body.deadline == 11_700_000_000
     assert (made.prompt_tokens, made.shared_beginning, made.shared_tokens) == (5120, "5c0f", 2048)
     assert made.max_answer_tokens == 800 and made.repeated
-    plain = asks.ask(head(X_Facts=None), b"x" * 400, {"plan": 1}, 0, 0, {})
+    plain = requests.parse_request(head(X_Facts=None), b"x" * 400, {"plan": 1}, 0, 0, {})
     assert plain.prompt_tokens == 100 and plain.shared_beginning is None and not plain.repeated
-    assert asks.time_left("1500u") == 1_500_000
+    assert requests.parse_time_left("1500u") == 1_500_000
 
 
 @pytest.mark.parametrize("changes", [
@@ -116,14 +116,16 @@
     {"X_Facts": "prompt_len=-1"}, {"X_Facts": "prompt_len=1,prompt_len=2"},
 ])  # fmt: skip
 def test_a_bad_head_is_refused(changes: dict[str, str | None]) -> None:
-    with pytest.raises(asks.BadAsk):
-        asks.ask(head(**changes), b"{}", {"plan": 0}, 0, 0, {})
+    with pytest.raises(requests.BadRequest):
+        requests.parse_request(head(**changes), b"{}", {"plan": 0}, 0, 0, {})
 
 
 def test_a_header_that_stands_twice_is_refused() -> None:
     twice = http1.Headers([*head().headers, ("x-correlation-id", "another")])
-    with pytest.raises(asks.BadAsk, match="twice|2 times"):
-        asks.ask(http1.RequestHead("POST", asks.CHAT, twice, True, 2), b"{}", {"plan": 0}, 0, 0, {})
+    with pytest.raises(requests.BadRequest, match="twice|2 times"):
+        requests.parse_request(
+            http1.RequestHead("POST", requests.CHAT_PATH, twice, True, 2), b"{}", {"plan": 0}, 0, 0, {}
+        )
 
 
 EVENTS = [
@@ -208,11 +210,11 @@
 @pytest.mark.parametrize("text", ["", "JSON {}", "TEXT inflight", "TEXT inflight=nan", "TEXT inflight=-1", "TEXT a b=1",
                                   "TEXT inflight=1e999999", "TEXT ,"])  # fmt: skip
 def test_a_load_report_that_cannot_be_read_is_none(text: str) -> None:
-    assert exchange.report_pairs(text) == ""
+    assert exchange.load_report_pairs(text) == ""
 
 
 def test_a_load_report_in_the_simulators_words() -> None:
-    assert exchange.report_pairs("TEXT inflight=7, queue=2, x0=0.61") == "inflight:7,queue:2,x0:0.61"
+    assert exchange.load_report_pairs("TEXT inflight=7, queue=2, x0=0.61") == "inflight:7,queue:2,x0:0.61"
 
 
 def target(uid: str, **more: Any) -> dict[str, Any]:
@@ -227,23 +229,25 @@
 NOW = 1_700_000_100 * 10**9  # on the node's clock
 
 
-def held() -> hosts.Hosts:
-    return hosts.Hosts(("prefill", "decode"), ("a", "b"), (READER, WRITER))
+def held() -> engine_table.EngineTable:
+    return engine_table.EngineTable(("prefill", "decode"), ("a", "b"), (READER, WRITER))
 
 
 def test_lists_and_changes_by_version() -> None:
     made = held()
-    first = made.take(listing(4, target("s1"), target("s2", model="decode", az="b"), whole=True), NOW, known=True)
+    first = made.apply(
+        listing(4, target("s1"), target("s2", model="decode", az="b"), whole=True), NOW, from_config=True
+    )
     assert first is not None and first.kind is api.ListKind.SAVED and first.version == 4
     assert [(e.zone, e.kind, e.cell) for e in first.entries] == [(0, 0, 3), (1, 1, 3)]
-    change = made.take(listing(6, target("s1", state="DRAINING", boot_ms=1_700_000_000_000)), NOW)
+    change = made.apply(listing(6, target("s1", state="DRAINING", boot_ms=1_700_000_000_000)), NOW)
     assert change is not None and change.kind is api.ListKind.CHANGES
     assert change.entries[0].state is api.ServerState.DRAINING and change.entries[0].started == 1_700_000_000 * 10**9
     assert not made.engines["s1"].up
-    assert made.take(listing(5, target("s1")), NOW) is None and not made.engines["s1"].up  # older: passed over
-    gone = made.take(listing(7, {"uid": "s1", "state": "DELETED"}), NOW)
+    assert made.apply(listing(5, target("s1")), NOW) is None and not made.engines["s1"].up  # older: passed over
+    gone = made.apply(listing(7, {"uid": "s1", "state": "DELETED"}), NOW)
     assert gone is not None and gone.entries[0].state is api.ServerState.REMOVED and list(made.engines) == ["s2"]
-    whole = made.take(listing(3, target("s9"), whole=True), NOW, fresh=True)
+    whole = made.apply(listing(3, target("s9"), whole=True), NOW, first_of_watch=True)
     assert whole is not None and whole.kind is api.ListKind.FULL and list(made.engines) == ["s9"] and made.rev == 3
 
 
@@ -264,62 +268,74 @@
     assert reader.feed(b'\n{"rev":2}\n') == [b'{"rev":1,"targets":[', b'{"rev":2}']
     assert reader.feed(b'}]\n{"rev":3}\n') == [b"}]", b'{"rev":3}']
     with pytest.raises(documents.DocumentError):
-        reader.feed(b"[" * (documents.MOST + 1))
+        reader.feed(b"[" * (documents.MAX_DOCUMENT_BYTES + 1))
 
 
 def test_what_cannot_be_used_is_named_and_takes_nothing_along() -> None:
     made = held()
-    event = made.take(listing(1, target("s1", model="m9"), target("s2", endpoint="x"), target("s3"), whole=True), NOW)
-    assert event is not None and [e.server for e in event.entries] == ["s3"] and len(made.passed_over) == 2
+    event = made.apply(listing(1, target("s1", model="m9"), target("s2", endpoint="x"), target("s3"), whole=True), NOW)
+    assert event is not None and [e.server for e in event.entries] == ["s3"] and len(made.skipped) == 2
     for data in (b"{", b"[]", b'{"rev":"x"}', b"\xff", b"[" * 100_000):
-        with pytest.raises(hosts.HostsError):
-            made.take(data, NOW)
+        with pytest.raises(engine_table.ServerListError):
+            made.apply(data, NOW)
     assert list(made.engines) == ["s3"]
 
 
 @given(st.integers(64, 4096), st.floats(32, 2048))
 def test_the_shares_never_add_up_to_more_than_there_is(sockets: int, memory: float) -> None:
-    shares = budget.divide(sockets, memory)
-    assert min(shares.clients, shares.requests, shares.wakers, shares.kept) >= 1
-    assert shares.clients + shares.requests + shares.wakers + shares.kept <= sockets - budget.FIXED - budget.CALLS
+    shares = budget.divide_budget(sockets, memory)
+    assert min(shares.clients, shares.requests, shares.wakers, shares.idle_connections) >= 1
+    assert (
+        shares.clients + shares.requests + shares.wakers + shares.idle_connections
+        <= sockets - budget.FIXED_DESCRIPTORS - budget.BACKGROUND_CALL_DESCRIPTORS
+    )
 
 
 @pytest.mark.parametrize("memory", [40, 192])
 def test_the_smallest_machine_carries_a_request_on_each_connection_that_usual_clients_may_have(memory: int) -> None:
     """A third of the descriptors, less what is fixed: with fewer, half of a calm day was refused."""
-    shares = budget.divide(256, memory)
-    assert shares.requests >= (256 - budget.FIXED - budget.CALLS) // 3 and shares.clients > shares.requests
+    shares = budget.divide_budget(256, memory)
+    assert (
+        shares.requests >= (256 - budget.FIXED_DESCRIPTORS - budget.BACKGROUND_CALL_DESCRIPTORS) // 3
+        and shares.clients > shares.requests
+    )
 
 
 def test_an_id_is_taken_once_and_forgotten_after_a_while() -> None:
-    seen = ids.SeenIds()
-    assert seen.take("a", 0) and not seen.take("a", ids.REMEMBERED) and seen.take("a", ids.REMEMBERED + 1)
-    for n in range(2 * ids.MOST):
-        assert seen.take(f"q{n}", ids.REMEMBERED + 2)
-    assert len(seen) == ids.MOST and not seen.take(f"q{2 * ids.MOST - 1}", ids.REMEMBERED + 3)
+    seen = request_ids.RecentRequestIds()
+    assert (
+        seen.add("a", 0) and not seen.add("a", request_ids.RETENTION_NS) and seen.add("a", request_ids.RETENTION_NS + 1)
+    )
+    for n in range(2 * request_ids.MAX_IDS):
+        assert seen.add(f"q{n}", request_ids.RETENTION_NS + 2)
+    assert len(seen) == request_ids.MAX_IDS and not seen.add(
+        f"q{2 * request_ids.MAX_IDS - 1}", request_ids.RETENTION_NS + 3
+    )
 
 
 def test_a_release_goes_to_the_engine_that_answered_last() -> None:
     """Not to one that fell silent with connections kept to it: each try there costs its whole time-out."""
-    engines = [hosts.Engine(name, "10.0.0.1", n, READER, up) for n, (name, up) in enumerate(
+    engines = [engine_table.Engine(name, "10.0.0.1", n, READER, up) for n, (name, up) in enumerate(
         (("silent", True), ("answers", True), ("failed", True), ("drains", False), ("unheard", True)))]  # fmt: skip
     heard = {"silent": 5.0, "answers": 9.0, "failed": 9.5, "drains": 9.9}
     tried: set[str] = set()
-    order = [leases.pick(engines, lambda e: heard.get(e.name, 0.0), {"failed": 20}, 10, tried) for _ in range(6)]
+    order = [
+        releases.choose_engine(engines, lambda e: heard.get(e.name, 0.0), {"failed": 20}, 10, tried) for _ in range(6)
+    ]
     names = [engine.name for engine in order if engine is not None]
     assert names == ["answers", "silent", "unheard", "drains", "failed", "answers"]
-    assert leases.pick([], lambda e: 0.0, {}, 0, set()) is None
+    assert releases.choose_engine([], lambda e: 0.0, {}, 0, set()) is None
 
 
 def test_a_release_that_was_not_heard_goes_to_the_best_of_the_other_engines() -> None:
     """An engine that failed goes to the back, and the next try skipped the one that had moved up: a release was heard
     after 2 s though engines that lived were at hand."""
-    engines = [hosts.Engine(f"e{n}", "10.0.0.1", n, READER, True) for n in range(8)]
+    engines = [engine_table.Engine(f"e{n}", "10.0.0.1", n, READER, True) for n in range(8)]
     suspects: dict[str, int] = {}
     tried: set[str] = set()
     order = []
     for _ in range(4):
-        engine = leases.pick(engines, lambda e: float(-int(e.name[1:])), suspects, 10, tried)
+        engine = releases.choose_engine(engines, lambda e: float(-int(e.name[1:])), suspects, 10, tried)
         assert engine is not None
         order.append(engine.name)
         suspects[engine.name] = 1_000  # it did not answer
@@ -327,23 +343,25 @@
 
 
 def test_connections_kept_to_a_silent_engine_do_not_draw_releases_there() -> None:
-    silent, answers = (hosts.Engine(name, "10.0.0.1", n, READER, True) for n, name in enumerate(("silent", "answers")))
+    silent, answers = (
+        engine_table.Engine(name, "10.0.0.1", n, READER, True) for n, name in enumerate(("silent", "answers"))
+    )
     pool = Pool(4, 60.0)
-    called = calls.Calls(pool, lambda: 0, 0.25)
+    called = calls.EngineCalls(pool, lambda: 0, 0.25)
     for engine in (silent, silent, silent, answers):
         ours, theirs = socket.socketpair()
         theirs.close()
         pool.give(engine.host, engine.port, ours)
     assert pool.kept(silent.host, silent.port) == 3
-    assert leases.pick([silent, answers], called.heard, {}, 0, set()) is answers
+    assert releases.choose_engine([silent, answers], called.last_heard, {}, 0, set()) is answers
     pool.forget({(silent.host, silent.port)})
-    assert called.heard(answers) == 0.0 < called.heard(silent)
+    assert called.last_heard(answers) == 0.0 < called.last_heard(silent)
     pool.close()
 
 
 def test_a_watch_that_falls_silent_is_open_anew_within_6_s_though_a_call_fails() -> None:
     """The protocol: an empty line every 2 s, and what the agent has counts as told 6 s later, whatever failed."""
     line, told = 2.0, 6.0
-    pauses = 1.5 * (watch.FIRST_PAUSE + 2 * watch.FIRST_PAUSE)
-    assert 2 * line < watch.SILENT  # two lines may be late
-    assert watch.SILENT + watch.CONNECT + watch.ANSWER + pauses < told - 0.25
+    pauses = 1.5 * (watch.FIRST_PAUSE_S + 2 * watch.FIRST_PAUSE_S)
+    assert 2 * line < watch.SILENCE_TIMEOUT_S  # two lines may be late
+    assert watch.SILENCE_TIMEOUT_S + watch.CONNECT_TIMEOUT_S + watch.FIRST_BYTE_TIMEOUT_S + pauses < told - 0.25
--- a/tests/test_edge_serving.py
+++ b/tests/test_edge_serving.py
@@ -17,12 +17,12 @@
 import pytest
 
 from stonetrack import api
-from stonetrack.edge import asks, hosts, watch
-from stonetrack.edge.calls import Answer, Calls
+from stonetrack.edge import engine_table, requests, watch
+from stonetrack.edge.calls import Answer, EngineCalls
 from stonetrack.edge.engines import EdgeEngines
-from stonetrack.edge.leases import Leases
 from stonetrack.edge.probes import Probes
-from stonetrack.edge.serve import COMING
+from stonetrack.edge.releases import Releases
+from stonetrack.edge.serve import ACCEPTING_S
 from stonetrack.engines.pool import Pool
 from stonetrack.logic import MS, SECOND
 from stonetrack.node.invariants import Invariant
@@ -55,7 +55,7 @@
             client.ask(b"{}", headers=headers(f"q{n}"))
         assert wait_for(lambda: made.core.router.servers["w0"].streams == 3)  # type: ignore[attr-defined]
         assert wait_for(lambda: made.engines.open_attempts() == {"w0": 3})
-        made.tend()
+        made.maintain()
         for client in clients:
             assert client.answer()[0].status == 200
         assert wait_for(lambda: at_rest(made)) and not +made.engines.open_attempts()
@@ -145,15 +145,15 @@
 def test_a_release_is_tried_on_while_an_attempt_only_connects() -> None:
     """Engines that are cut off take all the time for connecting: what is held may not wait for that."""
     clock, heard, silent = time.monotonic_ns, threading.Event(), threading.Event()
-    readers = {f"r{n}": hosts.Engine(f"r{n}", "127.0.0.1", n + 1, api.Role.READER, True) for n in range(2)}
+    readers = {f"r{n}": engine_table.Engine(f"r{n}", "127.0.0.1", n + 1, api.Role.READER, True) for n in range(2)}
 
     class Cut(Pool):
         def take(self, host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
             time.sleep(0.25)
             raise TimeoutError("timed out")
 
-    class Slow(Calls):
-        def call(self, engine: hosts.Engine, message: bytes, timeout: float) -> Answer:
+    class Slow(EngineCalls):
+        def call(self, engine: engine_table.Engine, message: bytes, timeout: float) -> Answer:
             if not silent.is_set():
                 silent.set()
                 time.sleep(timeout)
@@ -162,17 +162,17 @@
             raise ConnectionResetError("heard, and its answer lost")
 
     pool = Cut(4, 60.0)
-    leases = Leases(Slow(pool, clock, 0.25), clock, 500 * MS)
-    leases.start()
+    releases = Releases(Slow(pool, clock, 0.25), clock, 500 * MS)
+    releases.start()
     probes = Probes(Slow(pool, clock, 0.25), clock, lambda text: None, lambda event: None)
-    engines = EdgeEngines(pool, leases, probes, clock, 0.25, lambda text: None)
+    engines = EdgeEngines(pool, releases, probes, clock, 0.25, lambda text: None)
     engines.list_changed(readers)
     begin = time.monotonic()
-    leases.release("q")
+    releases.release("q")
     ended = engines.start(Ask("q", 0, "", 8 * SECOND, 100, b""), "r0", 1, None, False, lambda server: True)
     assert isinstance(ended, Over) and ended.outcome is api.Outcome.CONNECT_FAILED
-    assert leases.open and heard.wait(1.0) and time.monotonic() - begin < 0.5
-    leases.stop()
+    assert releases.open and heard.wait(1.0) and time.monotonic() - begin < 0.5
+    releases.stop()
 
 
 def test_a_release_that_is_not_heard_keeps_the_next_attempt_of_its_request_back() -> None:
@@ -181,20 +181,20 @@
         heard = threading.Event()
         carry_out = made.calls.call
 
-        def call(engine: hosts.Engine, message: bytes, timeout: float) -> Answer:
+        def call(engine: engine_table.Engine, message: bytes, timeout: float) -> Answer:
             if message.startswith(b"DELETE") and not heard.is_set():
                 time.sleep(timeout)
                 raise TimeoutError("timed out")
             return carry_out(engine, message, timeout)
 
         made.calls.call = call  # type: ignore[method-assign]
-        made.leases.release("q")
-        asked = Ask("q", 0, "", 8 * SECOND, 100, asks.Body(CHAT, b"{}", made.core.clock() + SECOND))
+        made.releases.release("q")
+        asked = Ask("q", 0, "", 8 * SECOND, 100, requests.ForwardedRequest(CHAT, b"{}", made.core.clock() + SECOND))
         ended = made.engines.start(asked, "r0", 0, None, False, lambda server: True)
         assert isinstance(ended, Over) and ended.outcome is api.Outcome.NOT_SENT
-        assert made.leases.open and not world.which("q")
+        assert made.releases.open and not world.which("q")
         heard.set()
-        assert wait_for(lambda: not made.leases.open)
+        assert wait_for(lambda: not made.releases.open)
         assert not isinstance(made.engines.start(asked, "r0", 1, None, False, lambda server: True), Over)
         assert wait_for(lambda: [what for what, _ in world.which("q")] == ["release", "read"])
 
@@ -276,9 +276,9 @@
     with platform() as world, node(world) as made:
         client = Client(world.listen)
         world.change("r0", "DRAINING")
-        assert wait_for(lambda: made.hosts.rev == world.rev)
+        assert wait_for(lambda: made.engine_table.rev == world.rev)
         world.change("w1", "DELETED")
-        assert wait_for(lambda: made.hosts.rev == world.rev)
+        assert wait_for(lambda: made.engine_table.rev == world.rev)
         for n in range(8):
             assert ask(client, f"q{n}")[0].status == 200
         assert {engine for _, what, engine, _ in world.seen if what in ("read", "write", "place")} == {"r1", "w0"}
@@ -421,9 +421,9 @@
         leaving = threading.Thread(target=made.drain)
         leaving.start()
         assert idle.sock.recv(1) == b""  # closed between two requests
-        time.sleep(COMING / 2)
+        time.sleep(ACCEPTING_S / 2)
         fresh = Client(world.listen)  # a drain waits a second for its first request, from here on
-        time.sleep(COMING / 2 + 0.1)
+        time.sleep(ACCEPTING_S / 2 + 0.1)
         head, _ = ask(fresh, "late")
         assert head.status == 503 and head.headers.get("connection") == "close" and not world.which("late")
         head, body = taken.answer()
@@ -503,7 +503,7 @@
             if name[0] == "r" and not told.is_set():
                 told.set()
                 world.change(name, "DRAINING")
-                assert wait_for(lambda: made.hosts.rev == world.rev)
+                assert wait_for(lambda: made.engine_table.rev == world.rev)
             return take(host, port, timeout)
 
         monkeypatch.setattr(made.pool, "take", slowly)
@@ -590,7 +590,7 @@
     """The first falls silent after its list, the next is taken and never answered; the third tells what was missed.
 
     All times are a tenth of the protocol's."""
-    for name in ("SILENT", "ANSWER", "CONNECT", "FIRST_PAUSE", "LONGEST_PAUSE"):
+    for name in ("SILENCE_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_PAUSE_S", "MAX_PAUSE_S"):
         monkeypatch.setattr(watch, name, getattr(watch, name) / 10)
     listener, asked, documents = socket.create_server(("127.0.0.1", 0)), [], []
     head = writer.streamed(200, [("Content-Type", "application/json")])
@@ -606,7 +606,7 @@
 
     threading.Thread(target=agent, daemon=True).start()
     address = ("127.0.0.1", listener.getsockname()[1])
-    follower = watch.Watch(address, lambda: 1, lambda data, first: documents.append(data), lambda text: None)
+    follower = watch.DiscoveryWatch(address, lambda: 1, lambda data, first: documents.append(data), lambda text: None)
     follower.start()
     try:
         assert wait_for(lambda: len(documents) == 2, 5.0)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -110,7 +110,8 @@
     "scenario/bench.py", "capture/codec.py", "capture/segment.py", "capture/snapshot.py", "capture/explain.py",
     "capture/compare.py", "capture/index.py", "capture/retention.py", "capture/case.py", "capture/redact.py",
     "capture/journal.py", "manage/framing.py", "manage/datastore.py", "manage/yang.py", "manage/model.py",
-    "manage/messages.py", "edge/config.py", "edge/asks.py", "edge/exchange.py", "edge/hosts.py", "edge/budget.py",
+    "manage/messages.py", "edge/config.py", "edge/requests.py", "edge/exchange.py", "edge/engine_table.py",
+    "edge/budget.py",
     "background/wheel.py", "background/plan.py", "logic.py", "api.py",
 ]  # fmt: skip
 BANNED = {"asyncio", "socketserver", "http", "urllib", "xmlrpc", "requests", "httpx", "h11", "h2", "grpc"}
--- a/tests/test_starts_and_clocks.py
+++ b/tests/test_starts_and_clocks.py
@@ -47,20 +47,20 @@
 def test_a_start_that_a_watch_reports_is_never_earlier_than_it_can_have_been(wrong: int) -> None:
     """The node's clock is ``wrong`` against the engines': the start counts from the moment of the news."""
     made = held()
-    made.take(listing(1, target("s1", boot_ms=(NOW - HOUR) // MS), whole=True), NOW + wrong, known=True)
-    made.take(listing(1, target("s1", boot_ms=(NOW - HOUR) // MS), whole=True), NOW + wrong, fresh=True)
+    made.apply(listing(1, target("s1", boot_ms=(NOW - HOUR) // MS), whole=True), NOW + wrong, from_config=True)
+    made.apply(listing(1, target("s1", boot_ms=(NOW - HOUR) // MS), whole=True), NOW + wrong, first_of_watch=True)
     told_at = NOW + wrong + 60 * SECOND
     started = (NOW + 59 * SECOND) // MS  # on the engines' clock
-    event = made.take(listing(2, target("s1", boot_ms=started), target("s2", boot_ms=started)), told_at)
+    event = made.apply(listing(2, target("s1", boot_ms=started), target("s2", boot_ms=started)), told_at)
     assert event is not None and [e.started for e in event.entries] == [told_at, told_at]
-    again = made.take(listing(3, target("s1", boot_ms=started, state="DRAINING")), told_at + SECOND)
+    again = made.apply(listing(3, target("s1", boot_ms=started, state="DRAINING")), told_at + SECOND)
     assert again is not None and again.entries[0].started == told_at  # the same start, told again
 
 
 def test_a_start_in_the_first_list_is_by_the_wall_clock_and_never_in_the_future() -> None:
     made = held()
     boots = {"old": NOW - HOUR, "young": NOW - 3 * SECOND, "ahead": NOW + HOUR}
-    event = made.take(listing(1, *(target(n, boot_ms=at // MS) for n, at in boots.items()), whole=True), NOW)
+    event = made.apply(listing(1, *(target(n, boot_ms=at // MS) for n, at in boots.items()), whole=True), NOW)
     assert event is not None and [e.started for e in event.entries] == [NOW - HOUR, NOW - 3 * SECOND, NOW]
     assert event.entries[2].started > NOW - SECOND
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -160,7 +160,7 @@
     made.pool.rest._failed.clear()
     for server in made.core.router.servers.values():  # type: ignore[attr-defined]
         server.paused.clear()
-    made.calls.suspects.clear()
+    made.calls.suspect_until.clear()
 
 
 @pytest.mark.parametrize(("call", "code"), CASES, ids=named)
--- a/tests/test_two_customers.py
+++ b/tests/test_two_customers.py
@@ -11,9 +11,9 @@
 
 from stonetrack import api
 from stonetrack.daemon.places import Places
-from stonetrack.edge import asks
+from stonetrack.edge import requests
 from stonetrack.edge.config import parse as parse_edge
-from stonetrack.edge.engines import request_bytes
+from stonetrack.edge.engines import build_request
 from stonetrack.edge.serve import EdgeNode
 from stonetrack.logic import SECOND, Router
 from stonetrack.settings import parse
@@ -139,7 +139,7 @@
             assert f"configuration refused, nothing changed: {path}: $.settings.request_classes" in said
             assert "found ['second-talk']; allowed while the node runs: ['chat']" in said
             client = Client(world.listen)
-            assert ask(client, "q0")[0].status == 200 and set(made.hosts.engines) == set(world.engines)
+            assert ask(client, "q0")[0].status == 200 and set(made.engine_table.engines) == set(world.engines)
             assert not other.discovery.asked
             client.close()
         finally:
@@ -167,11 +167,11 @@
     from tests.test_edge import head
 
     tenants = {"second-house": 0, "third-house": 1}
-    made = asks.ask(head(X_Account=name), b"{}", {"plan": 0}, 0, 0, tenants)
+    made = requests.parse_request(head(X_Account=name), b"{}", {"plan": 0}, 0, 0, tenants)
     assert made.tenant == number
-    assert asks.ask(head(X_Account="nobody"), b"{}", {"plan": 0}, 0, 0, {}).tenant == 0
-    with pytest.raises(asks.BadAsk, match="x-account: found 'nobody'; allowed: second-house, third-house"):
-        asks.ask(head(X_Account="nobody"), b"{}", {"plan": 0}, 0, 0, tenants)
+    assert requests.parse_request(head(X_Account="nobody"), b"{}", {"plan": 0}, 0, 0, {}).tenant == 0
+    with pytest.raises(requests.BadRequest, match="x-account: found 'nobody'; allowed: second-house, third-house"):
+        requests.parse_request(head(X_Account="nobody"), b"{}", {"plan": 0}, 0, 0, tenants)
 
 
 def test_headers_that_are_the_clients_and_the_engines_pass_on() -> None:
@@ -179,11 +179,11 @@
     as not the client's."""
     from tests.test_edge import head
 
-    made = asks.ask(
+    made = requests.parse_request(
         head(Idempotency_Key="k-1", Connection="X-Hop", X_Hop="1", Expect="100-continue", TE="trailers"),
         b"{}", {"plan": 0}, 0, 0, {})  # fmt: skip
     passed = dict(made.body.headers)
     assert passed["Idempotency-Key"] == "k-1" and passed["X-Service-Class"] == "plan"
     assert not {"Connection", "X-Hop", "Expect", "Te", "X-Time-Left", "X-Correlation-Id"} & set(passed)
-    sent = request_bytes(made, 2 * SECOND)
+    sent = build_request(made, 2 * SECOND)
     assert b"\r\nIdempotency-Key: k-1\r\n" in sent and sent.count(b"X-Time-Left: 2000m\r\n") == 1
