--- a/stonetrack/edge/__init__.py
+++ b/stonetrack/edge/__init__.py
@@ -1,7 +1,10 @@
-"""The platform's protocol: the node as one small machine among others, between a front, engines and discovery.
+"""The platform's protocol: one node of a fleet, between clients, engines and the discovery service.
 
-Pure: :mod:`.config` (what a node is told), :mod:`.asks` (a client's head to an ``Ask``), :mod:`.exchange` (an engine's
-bytes to outcomes), :mod:`.hosts` (discovery's lists), :mod:`.budget` (what each part may hold).  On threads
-and sockets: :mod:`.engines`, :mod:`.leases`, :mod:`.watch`, :mod:`.sink`, :mod:`.serve`.  Inputs: HTTP/1.1 of three
-parties.  Outputs: the same, and one final answer for each request.  Must not depend on: any choice of the router.
+Without I/O: :mod:`.config` (the configuration file), :mod:`.requests` (parses a client's request), :mod:`.exchange`
+(parses an engine's answer), :mod:`.engine_table` (server lists from discovery), :mod:`.documents` (splits a watch into
+JSON documents), :mod:`.request_ids` (duplicate detection), :mod:`.budget` (shares of descriptors and memory).
+With threads and sockets: :mod:`.serve` (the process), :mod:`.engines`, :mod:`.calls`, :mod:`.probes`, :mod:`.releases`,
+:mod:`.abandoned`, :mod:`.watch`, :mod:`.sink`.  For operators: :mod:`.metrics`, :mod:`.trace`.
+Inputs: HTTP/1.1 from clients, engines and discovery.  Outputs: HTTP/1.1 to the same, one final answer for each request.
+Must not depend on: how the router decides.
 """
--- a/stonetrack/edge/abandoned.py
+++ b/stonetrack/edge/abandoned.py
@@ -1,24 +1,24 @@
-"""Prefill attempts that ended without their engine's word, and the states that they may yet leave there.
-
-A prefill attempt whose request was written whole may arrive after it was given up, and a read that was given up may go
-on to its end: its state is then held for nobody.  Closing a connection proves neither.  So each such attempt is a debt:
-
-- Its connection stays open with this side's sending ended, which gives the attempt up as a close does, and is watched:
-  what comes back on it, an answer or its end, is the engine's own word that it has acted.
-- The engine is owed a release that it answers itself.  One that can't be reached is asked again until it answers; one
-  that refuses connections has lost its process, and all that it held.
-- From each of these moments on (given up, heard on the connection, release answered late) releases follow one another
-  within the settings' time, so that a state which the engine finishes meanwhile is let go of in time:
-  ``UNCONFIRMED_RELEASES`` of
-  them, ``CONFIRMED_RELEASES`` where the engine is there to be heard.  A blind one is tried once: where all
-  engines are slow, what
-  is only a precaution may not add to their load.  They have threads of their own: when many engines come back at
-  once, they keep no release waiting that a request under way has to have heard.
-
-A debt ends when its connection has ended, its engine has answered a release and the last release was sent.  A release
-would also take what another attempt of the request is reading, so it waits while one needs what is held, but no longer
-than :data:`KNOWN_SHARE` of the settings' time where the engine's word says that a state is there.  Bounded in number,
-connections and time; what is dropped is counted.
+"""Abandoned prefills: attempts that ended without their engine's answer, and the state that they may still leave there.
+
+A prefill whose request was sent whole may reach the engine after its cancellation, and a cancelled prefill may run to
+its end: its state is then leaked, held for no request.  A closed connection proves neither.  So each such attempt is
+tracked until nothing of it can be left:
+
+- Its connection stays open with this side shut down for writing, which cancels the attempt as a close does.  Whatever
+  arrives on it, an answer or the end of the stream, shows that the engine has acted.
+- Its engine has to answer a release itself.  One that can't be reached is called again until it answers; one that
+  refuses connections has lost its process, and with it all that it held.
+- After each of these moments (cancellation, bytes on the connection, a late answer to a release) further releases
+  follow at intervals of the settings' release time, so that a state which the engine completes meanwhile is released in
+  time: ``UNCONFIRMED_RELEASES`` after the cancellation, ``CONFIRMED_RELEASES`` after a sign of the engine.  Before any
+  sign of the engine such a release is tried only once: when all engines are slow, a precaution must not add to their
+  load.  These releases have threads of their own: when many engines come back at once, they delay no release that a
+  running request waits for.
+
+Tracking ends when the connection has ended, the engine has answered a release and the last release was sent.  A release
+would also drop the state that another attempt of the request is prefilling, so it waits while one needs that state, but
+no longer than :data:`KNOWN_STATE_SHARE` of the release time once the engine has shown that it acted.  The number of
+attempts, of connections and the time are bounded; what is dropped is counted.
 """
 
 from __future__ import annotations
@@ -38,106 +38,103 @@
 from stonetrack.node.threads import lasting
 
 SECOND = 1_000_000_000
-MOST = 1_024  # debts; past that the oldest are dropped
-KEPT_FOR = 60 * SECOND  # a connection on which nothing came for so long is closed
-LOOK = 0.05  # seconds from one look at the debts to the next
-UNCONFIRMED_RELEASES, CONFIRMED_RELEASES = (
-    2,
-    2,
-)  # releases after a moment from which on the engine may have left a state
-FIRST_SHARE = 0.6  # of the settings' time until the first of them behind a giving up, which has had a release itself
-KNOWN_SHARE = 0.7  # of the settings' time for which a state that is known to be there waits for another attempt
+MAX_ATTEMPTS = 1_024  # tracked at a time; above that the oldest are dropped
+WATCH_NS = 60 * SECOND  # a connection without any byte for longer is closed
+POLL_INTERVAL_S = 0.05
+UNCONFIRMED_RELEASES, CONFIRMED_RELEASES = 2, 2  # after the cancellation; after a sign that the engine has acted
+FIRST_RELEASE_SHARE = 0.6  # of the release time, from the cancellation (itself followed by a release) to the next
+KNOWN_STATE_SHARE = 0.7  # of the release time for which a state that is known to exist waits for another attempt
 THREADS = 4
-ASK_PAUSE = 2 * SECOND  # at most, between two tries at an engine that is away: each leaves a connection there
+MAX_RETRY_PAUSE_NS = 2 * SECOND  # between two tries at an unreachable engine: each leaves a connection there
 
 
 @dataclass(slots=True, eq=False)
-class _Debt:
-    """One attempt; times in nanoseconds of the node's clock."""
+class _Attempt:
+    """One abandoned prefill attempt; times in nanoseconds of the node's clock."""
 
     request: str
     engine: Engine
     sock: socket.socket | None
-    given_up: int
-    due: int  # when its next release is
-    left: int = UNCONFIRMED_RELEASES
-    told_at: int = 0  # when its engine said on the connection that it has acted; 0: not yet
-    asked: bool = False  # its engine is being asked for an answer to a release
-    answered: bool = False  # it has answered one
+    cancelled_at: int
+    next_release_at: int
+    releases_left: int = UNCONFIRMED_RELEASES
+    acted_at: int = 0  # when the connection showed that the engine has acted; 0 if it has not
+    confirming: bool = False  # a release that the engine has to answer itself is pending
+    confirmed: bool = False  # the engine has answered a release
 
     @property
-    def paid(self) -> bool:
-        """Whether nothing of it can be left."""
-        return self.sock is None and self.answered and self.left == 0
+    def settled(self) -> bool:
+        """Whether nothing of the attempt can be left at its engine."""
+        return self.sock is None and self.confirmed and self.releases_left == 0
 
 
 @dataclass(slots=True)
 class _Release(Item):
-    """One release, tried until it is heard or ``once``."""
+    """One release, retried until it is acknowledged, or tried a single time if ``once``."""
 
     once: bool = False
 
 
 @dataclass(slots=True)
 class Counts:
-    """For the node's metrics."""
+    """Counters for the node's metrics, which show the fields' names."""
 
-    given_up: int = 0  # attempts that became debts
-    told: int = 0  # of these, engines that said something on the connection later
-    paid: int = 0
-    dropped: int = 0
+    given_up: int = 0  # attempts tracked
+    told: int = 0  # of these, attempts whose connection later showed that the engine has acted
+    paid: int = 0  # attempts of which nothing can be left
+    dropped: int = 0  # attempts dropped above the bound
     connections_dropped: int = 0
     releases: int = 0
 
 
 @dataclass(slots=True)
-class _Book:
-    """The debts by number, oldest first, and those whose connections are watched, by descriptor."""
+class _Table:
+    """The tracked attempts by number, oldest first, and those with watched connections by descriptor."""
 
-    debts: OrderedDict[int, _Debt] = field(default_factory=OrderedDict)
-    watched: OrderedDict[int, _Debt] = field(default_factory=OrderedDict)
-    number: int = 0
+    attempts: OrderedDict[int, _Attempt] = field(default_factory=OrderedDict)
+    watched: OrderedDict[int, _Attempt] = field(default_factory=OrderedDict)
+    last_number: int = 0
 
 
 class AbandonedPrefills:
-    """See the module.
+    """Tracks abandoned prefills on a thread of its own and sends their releases.
 
-    ``release`` tries once to let go of all that is held for a request, at any engine; ``ask`` carries one release to
-    one engine (:class:`.Heard`); ``needed`` tells whether another attempt of the request needs what is held.
-    ``most_watched`` bounds the connections.
+    ``release_any`` tries once to release all that is held for a request, at any engine; ``release_at`` sends one
+    release to one engine (result: :class:`.Heard`); ``is_needed`` returns whether another attempt of the request needs
+    the held state.  ``within`` is the settings' release time in nanoseconds; ``max_watched`` bounds the connections.
     """
 
     def __init__(
         self,
         clock: Callable[[], int],
         within: int,
-        release: Callable[[Item], Heard],
-        ask: Callable[[Engine, str], Heard],
-        needed: Callable[[str], bool],
-        most_watched: int,
+        release_any: Callable[[Item], Heard],
+        release_at: Callable[[Engine, str], Heard],
+        is_needed: Callable[[str], bool],
+        max_watched: int,
         log: Callable[[str], None],
-        most: int = MOST,
+        max_attempts: int = MAX_ATTEMPTS,
     ) -> None:
         self._clock, self._within = clock, within
-        self._release, self._ask, self._needed = release, ask, needed
-        self._most, self._most_watched = most, most_watched
-        self._book = _Book()
-        self._asked: dict[int, _Debt] = {}  # by number of the release that its engine is asked to answer
-        self._engines: dict[str, Engine] = {}  # those that are owed something; emptied when nothing is
-        self._answers: deque[tuple[_Debt, bool]] = deque()  # releases answered since the last look: after a while?
+        self._release_any, self._release_at, self._is_needed = release_any, release_at, is_needed
+        self._max_attempts, self._max_watched = max_attempts, max_watched
+        self._table = _Table()
+        self._confirming: dict[int, _Attempt] = {}  # by number of the release that the engine has to answer
+        self._engines: dict[str, Engine] = {}  # engines of tracked attempts; emptied when no attempt is left
+        self._confirmations: deque[tuple[_Attempt, bool]] = deque()  # answers since the last pass, and whether late
         self._changed = threading.Condition(threading.Lock())
         self._stopping = False
         self.counts = Counts()
-        self._releasing = Releasing(clock, ASK_PAUSE, THREADS, self._carry, self._over, log=log)
+        self._releasing = Releasing(clock, MAX_RETRY_PAUSE_NS, THREADS, self._run_release, self._release_ended, log=log)
         self._thread = lasting("abandoned-reads", self._run, log)
 
     def __len__(self) -> int:
-        return len(self._book.debts)
+        return len(self._table.attempts)
 
     @property
     def watched_connections(self) -> int:
-        """Connections that are watched."""
-        return len(self._book.watched)
+        """Number of watched connections."""
+        return len(self._table.watched)
 
     def start(self) -> None:
         """Start the threads."""
@@ -145,7 +142,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop, and close what is watched; what is owed stays so."""
+        """Stop the threads and close the watched connections; outstanding releases are not sent."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
@@ -153,131 +150,130 @@
         if self._thread.ident is not None:
             self._thread.join(2.0)
         with self._changed:
-            for debt in self._book.debts.values():
-                self._unwatch(debt)
-            self._book.debts.clear()
+            for attempt in self._table.attempts.values():
+                self._unwatch(attempt)
+            self._table.attempts.clear()
 
     def add(self, request: str, engine: Engine, sock: socket.socket | None) -> None:
-        """An attempt has ended without its engine's word; its connection, if there is one, is this object's from now
-        on."""
+        """Track an attempt that ended without its engine's answer; takes over its connection, if there is one."""
         now = self._clock()
-        debt = _Debt(request, engine, sock, now, now + int(FIRST_SHARE * self._within))
+        attempt = _Attempt(request, engine, sock, now, now + int(FIRST_RELEASE_SHARE * self._within))
         with self._changed:
-            book = self._book
+            table = self._table
             self._engines[engine.name] = engine
-            book.number += 1
-            book.debts[book.number] = debt
+            table.last_number += 1
+            table.attempts[table.last_number] = attempt
             self.counts.given_up += 1
             if sock is not None:
-                book.watched[sock.fileno()] = debt
-            if len(book.watched) > self._most_watched:
+                table.watched[sock.fileno()] = attempt
+            if len(table.watched) > self._max_watched:
                 self.counts.connections_dropped += 1
-                self._unwatch(next(iter(book.watched.values())))
-            if len(book.debts) > self._most:
+                self._unwatch(next(iter(table.watched.values())))
+            if len(table.attempts) > self._max_attempts:
                 self.counts.dropped += 1
-                self._unwatch(book.debts.popitem(last=False)[1])
+                self._unwatch(table.attempts.popitem(last=False)[1])
             self._changed.notify_all()
 
-    # The look at all debts.
+    # The periodic pass over all attempts.
 
     def _run(self) -> None:
         while True:
             with self._changed:
-                while not self._book.debts and not self._stopping:
+                while not self._table.attempts and not self._stopping:
                     self._changed.wait()
                 if self._stopping:
                     return
-                watched = dict(self._book.watched)
-            came = self._came(watched)
+                watched = dict(self._table.watched)
+            readable = self._poll(watched)
             with self._changed:
-                for fd in came:
-                    if self._book.watched.get(fd) is watched[fd]:
-                        self._told(watched[fd])
+                for fd in readable:
+                    if self._table.watched.get(fd) is watched[fd]:
+                        self._engine_acted(watched[fd])
                 self._release_due(self._clock())
 
-    def _came(self, watched: dict[int, _Debt]) -> list[int]:
-        """Descriptors on which anything came, waited for until the next look."""
+    def _poll(self, watched: dict[int, _Attempt]) -> list[int]:
+        """Wait until the next pass at most; returns the descriptors on which anything arrived."""
         poller = select.poll()
         for fd in watched:
             poller.register(fd, select.POLLIN | select.POLLRDHUP)
         with contextlib.suppress(OSError):
-            return [fd for fd, _ in sockets.poll(poller, LOOK * 1_000.0)]
+            return [fd for fd, _ in sockets.poll(poller, POLL_INTERVAL_S * 1_000.0)]
         return []
 
-    def _told(self, debt: _Debt) -> None:
-        """Its engine has said something: it has acted, or does so now."""
-        self._unwatch(debt)
+    def _engine_acted(self, attempt: _Attempt) -> None:
+        """Bytes or the end of the stream arrived: the engine has acted on the attempt or is doing so."""
+        self._unwatch(attempt)
         self.counts.told += 1
-        debt.told_at = self._clock()
-        debt.due, debt.left, debt.asked = debt.told_at, CONFIRMED_RELEASES, False
+        attempt.acted_at = self._clock()
+        attempt.next_release_at, attempt.releases_left, attempt.confirming = attempt.acted_at, CONFIRMED_RELEASES, False
         with self._releasing.changed:
-            self._releasing.book.back(debt.engine.name, debt.told_at)
+            self._releasing.book.back(attempt.engine.name, attempt.acted_at)
             self._releasing.changed.notify_all()
 
     def _release_due(self, now: int) -> None:
-        """Release what is due; debts that are paid go.  Owed: ``Obligation.ABANDONED_READ``."""
-        while self._answers:
-            self._heard(*self._answers.popleft(), now)
-        for number, debt in list(self._book.debts.items()):
-            if debt.sock is not None and now > debt.given_up + KEPT_FOR:
-                self._unwatch(debt)
-            if debt.due > now or self._waits(debt, now):
+        """Send the releases that are due and drop settled attempts.  Fulfils ``Obligation.ABANDONED_READ``."""
+        while self._confirmations:
+            self._engine_answered(*self._confirmations.popleft(), now)
+        for number, attempt in list(self._table.attempts.items()):
+            if attempt.sock is not None and now > attempt.cancelled_at + WATCH_NS:
+                self._unwatch(attempt)
+            if attempt.next_release_at > now or self._must_wait(attempt, now):
                 continue
-            if debt.left:
-                self._release_now(debt, now)
-            elif debt.paid:
-                del self._book.debts[number]
+            if attempt.releases_left:
+                self._release_now(attempt, now)
+            elif attempt.settled:
+                del self._table.attempts[number]
                 self.counts.paid += 1
-        if not self._book.debts:
+        if not self._table.attempts:
             self._engines.clear()
 
-    def _release_now(self, debt: _Debt, now: int) -> None:
-        asks = not debt.asked
-        if asks:
-            debt.asked = True
-            self._add(debt, debt.engine.name, now, once=False)
-        if not asks or not debt.told_at:
-            self._add(debt, "", now, once=not debt.told_at)
-        debt.left -= 1
-        debt.due = now + self._within
+    def _release_now(self, attempt: _Attempt, now: int) -> None:
+        needs_confirmation = not attempt.confirming
+        if needs_confirmation:
+            attempt.confirming = True
+            self._add(attempt, attempt.engine.name, now, once=False)
+        if not needs_confirmation or not attempt.acted_at:
+            self._add(attempt, "", now, once=not attempt.acted_at)
+        attempt.releases_left -= 1
+        attempt.next_release_at = now + self._within
 
     @staticmethod
-    def _heard(debt: _Debt, late: bool, now: int) -> None:
-        """Its engine has answered a release, or nobody is there any more.  One that could not be reached for a while
-        has only now acted on what lay there."""
-        debt.answered = True
+    def _engine_answered(attempt: _Attempt, late: bool, now: int) -> None:
+        """The engine has answered a release, or is gone.  One that was unreachable for a while (``late``) has acted
+        only now on what was sent to it, so further releases follow."""
+        attempt.confirmed = True
         if late:
-            debt.due, debt.left = now, CONFIRMED_RELEASES
+            attempt.next_release_at, attempt.releases_left = now, CONFIRMED_RELEASES
 
-    def _waits(self, debt: _Debt, now: int) -> bool:
-        """Whether another attempt of its request would lose what it needs."""
-        if debt.told_at and now > debt.told_at + KNOWN_SHARE * self._within:
+    def _must_wait(self, attempt: _Attempt, now: int) -> bool:
+        """Whether a release now would drop the state that another attempt of the request needs."""
+        if attempt.acted_at and now > attempt.acted_at + KNOWN_STATE_SHARE * self._within:
             return False
-        return self._needed(debt.request)
+        return self._is_needed(attempt.request)
 
-    def _unwatch(self, debt: _Debt) -> None:
-        if debt.sock is not None:
-            self._book.watched.pop(debt.sock.fileno(), None)
-            sockets.reset(debt.sock)
-            debt.sock = None
+    def _unwatch(self, attempt: _Attempt) -> None:
+        if attempt.sock is not None:
+            self._table.watched.pop(attempt.sock.fileno(), None)
+            sockets.reset(attempt.sock)
+            attempt.sock = None
 
-    # The releases themselves: one that its engine has to answer, others that any may.
+    # The releases: one that the attempt's own engine has to answer, and others that any engine may.
 
-    def _add(self, debt: _Debt, server: str, now: int, once: bool) -> None:
+    def _add(self, attempt: _Attempt, server: str, now: int, once: bool) -> None:
         self.counts.releases += 1
         with self._releasing.changed:
-            number = self._releasing.book.add(_Release(debt.request, server, 0, None, now, once=once))
+            number = self._releasing.book.add(_Release(attempt.request, server, 0, None, now, once=once))
             if server:
-                self._asked[number] = debt
+                self._confirming[number] = attempt
             self._releasing.changed.notify_all()
 
-    def _carry(self, item: Item) -> Heard:
+    def _run_release(self, item: Item) -> Heard:
         if not item.server:
-            heard = self._release(item)
-            return Heard.DONE if isinstance(item, _Release) and item.once else heard
+            result = self._release_any(item)
+            return Heard.DONE if isinstance(item, _Release) and item.once else result
         engine = self._engines.get(item.server)
-        return Heard.DONE if engine is None else self._ask(engine, item.request)  # none: its debts were dropped
+        return Heard.DONE if engine is None else self._release_at(engine, item.request)  # None: attempts were dropped
 
-    def _over(self, number: int, item: Item) -> None:
-        if (debt := self._asked.pop(number, None)) is not None:
-            self._answers.append((debt, item.tries > 1))
+    def _release_ended(self, number: int, item: Item) -> None:
+        if (attempt := self._confirming.pop(number, None)) is not None:
+            self._confirmations.append((attempt, item.tries > 1))
--- a/stonetrack/edge/budget.py
+++ b/stonetrack/edge/budget.py
@@ -1,40 +1,39 @@
-"""What each part of a node may hold, out of what the configuration allows in all.  No I/O.
+"""Divides the file descriptors that the configuration allows among the parts of a node.  No I/O.
 
-Every request under way needs a client's connection and an engine's; one that waits, a descriptor to be woken by (past
-their share a request looks up by itself instead).  Fixed needs come off first.  The rest is shared so that no part can
-take another's: clients that connect and say nothing can't use up what attempts need, nor kept connections either.
+Every running request needs a connection to its client and one to an engine; a waiting request also needs a descriptor
+to be woken by (when their share is used up, it polls instead).  Fixed needs are deducted first.  The rest is divided so
+that no part can use another's share: neither clients that connect and send nothing nor idle connections to engines can
+take the descriptors that attempts need.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-FIXED_DESCRIPTORS = (
-    24  # standard streams, listener, reserve, epoll, discovery's watch (old and new), the configuration's file
-)
-BACKGROUND_CALL_DESCRIPTORS = 11  # connections for releases and probes: one for each of their threads, and some
-ABANDONED_MOST = 16  # a second of attempts given up at engines that have fallen silent, on the busiest nodes
-BYTES_A_REQUEST = 200_000  # measured: 60,000 to 90,000 for stack and buffers; and a body
-BASE_BYTES = 18_000_000  # measured: 13 to 14 million for interpreter, imports and tables
+FIXED_DESCRIPTORS = 24  # standard streams, listener, reserve, epoll, discovery watch (old and new), configuration file
+BACKGROUND_CALL_DESCRIPTORS = 11  # connections for releases and probes: one for each of their threads, and a reserve
+MAX_ABANDONED = 16  # the attempts that the busiest nodes cancel within a second at engines that have fallen silent
+BYTES_PER_REQUEST = 200_000  # 60,000 to 90,000 for stack and buffers, plus a body
+BASE_BYTES = 18_000_000  # 13 to 14 million for interpreter, imports and tables, plus a reserve
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """Shares of the descriptors; all together at most what was given."""
+    """Shares of the descriptors; their sum is at most the configured number."""
 
-    clients: int  # connections from clients
-    requests: int  # requests under way, so attempts too
-    wakers: int
+    clients: int  # client connections
+    requests: int  # running requests, so connections of attempts too
+    wakers: int  # descriptors that wake waiting requests
     idle_connections: int  # idle connections to engines
-    abandoned: int  # connections of attempts that were given up without their engine's word
+    abandoned: int  # connections of attempts that were cancelled without their engine's answer
 
 
 def divide_budget(sockets: int, memory_mb: float) -> Budget:
-    """Shares of so many descriptors, with requests bounded by memory as well."""
+    """Divide ``sockets`` descriptors; the number of requests is bounded by memory as well."""
     free = sockets - FIXED_DESCRIPTORS - BACKGROUND_CALL_DESCRIPTORS
     clients = free * 46 // 100
-    requests = min(free * 37 // 100, max(16, int((memory_mb * 1e6 - BASE_BYTES) / BYTES_A_REQUEST)))
+    requests = min(free * 37 // 100, max(16, int((memory_mb * 1e6 - BASE_BYTES) / BYTES_PER_REQUEST)))
     wakers = free * 7 // 100
     rest = free - clients - requests - wakers
-    abandoned = min(rest // 4, ABANDONED_MOST)
+    abandoned = min(rest // 4, MAX_ABANDONED)
     return Budget(clients, requests, wakers, rest - abandoned, abandoned)
--- a/stonetrack/edge/calls.py
+++ b/stonetrack/edge/calls.py
@@ -1,4 +1,4 @@
-"""One short call at an engine over the shared pool: the request out, its whole answer in, within one deadline."""
+"""Short calls to engines over the shared pool: one request and its whole answer, within one timeout."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
 
-SUSPECT_NS = 3_000_000_000  # nanoseconds for which an engine that did not answer is asked last
+SUSPECT_NS = 3_000_000_000  # an engine that did not answer is the last choice for so long
 _LIMITS = http1.Limits(head=16_384, headers=64, body=65_536)
-_BODY = 4_096  # bytes of an answer that are kept
+_MAX_BODY_BYTES = 4_096  # kept of an answer
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer; ``reusable`` tells whether the connection may be used again."""
+    """A complete answer; ``reusable`` tells whether the connection may carry another request."""
 
     head: http1.ResponseHead
     body: bytes
@@ -28,7 +28,7 @@
 
 
 def send_and_receive(sock: socket.socket, request: bytes, timeout: float) -> Answer:
-    """Send one call and read its answer, in so many seconds.  Raises OSError."""
+    """Send a request and read its answer, within ``timeout`` seconds in all.  Raises OSError."""
     reader = http1.MessageReader(http1.Side.RESPONSES, _LIMITS)
     end = time.monotonic() + timeout
     sock.settimeout(timeout)
@@ -39,7 +39,7 @@
         sock.settimeout(max(end - time.monotonic(), 0.001))
         data = sock.recv(16_384)
         if not data:
-            raise ConnectionError("closed without an answer")
+            raise ConnectionError("connection closed without an answer")
         try:
             while events := reader.feed(data, messages=1):
                 data = b""
@@ -47,7 +47,7 @@
                     if isinstance(event, http1.ResponseHead):
                         head, body = event, b""
                     elif isinstance(event, http1.Data):
-                        body = (body + event.data)[:_BODY]
+                        body = (body + event.data)[:_MAX_BODY_BYTES]
                     elif isinstance(event, http1.End) and head is not None and head.status >= 200:
                         sock.settimeout(None)
                         return Answer(head, body, head.keep_alive and reader.idle)
@@ -56,24 +56,24 @@
 
 
 class EngineCalls:
-    """Calls engines; remembers for a while which did not answer."""
+    """Calls engines, and remembers for ``SUSPECT_NS`` which of them did not answer."""
 
-    def __init__(self, pool: Pool, clock: Callable[[], int], connect: float) -> None:
-        self._pool, self._clock, self._connect = pool, clock, connect
-        self.suspect_until: dict[str, int] = {}  # until when, by engine
+    def __init__(self, pool: Pool, clock: Callable[[], int], connect_timeout: float) -> None:
+        self._pool, self._clock, self._connect_timeout = pool, clock, connect_timeout
+        self.suspect_until: dict[str, int] = {}  # node's clock in ns, by engine
 
     def retain(self, names: set[str]) -> None:
-        """Forget engines that are not among these."""
+        """Drop what is remembered of engines that are not among these."""
         self.suspect_until = {name: until for name, until in self.suspect_until.items() if name in names}
 
     def last_heard(self, engine: Engine) -> float:
-        """Monotonic time in seconds at which an engine last answered on the shared pool; 0 for never."""
+        """Monotonic time in seconds at which an engine last answered on the shared pool; 0 if it never did."""
         return self._pool.heard(engine.host, engine.port)
 
     def call(self, engine: Engine, message: bytes, timeout: float) -> Answer:
-        """One call's answer.  Raises OSError; the engine then counts as suspect for a while."""
+        """Call an engine; returns its answer.  Raises OSError; the engine then counts as suspect for ``SUSPECT_NS``."""
         try:
-            sock, age = self._pool.take(engine.host, engine.port, min(self._connect, timeout))
+            sock, age = self._pool.take(engine.host, engine.port, min(self._connect_timeout, timeout))
             try:
                 answer = send_and_receive(sock, message, timeout)
             except TimeoutError:
@@ -84,7 +84,7 @@
                 self._pool.unanswered(age)
                 raise
         except MachineShort:
-            raise  # no fault of the engine's
+            raise  # a local shortage, not a failure of the engine
         except OSError:
             self.suspect_until[engine.name] = self._clock() + SUSPECT_NS
             raise
--- a/stonetrack/edge/config.py
+++ b/stonetrack/edge/config.py
@@ -1,9 +1,8 @@
-"""What a node is told: ``EDGE_CONFIG``, JSON as the operators write it.  No I/O.
+"""Parses a node's configuration file (``EDGE_CONFIG``), JSON as operators write it.  No I/O.
 
-``settings`` is the object that an instance is given by the simulator's first message, nested.  It is flattened to the
-paths of that message and read by ``simulator_adapter``, which reads it for the bench: one reader, so that the two can't
-differ.
-Unknown names are passed over, there and here.
+``settings`` is the content of the simulator's first message to an instance, as nested JSON.  It is flattened to the
+paths of that message and parsed by ``simulator_adapter``, which also parses it for the bench: with a single parser the
+two can't differ.  Unknown names are ignored in both.
 """
 
 from __future__ import annotations
@@ -23,14 +22,14 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """Bounds of the machine; the processes of one node share them."""
+    """Resources of the machine, shared by the processes of one node."""
 
     cores: Annotated[float, Meta(gt=0.0)] = 1.0
     memory_mb: Annotated[float, Meta(gt=0.0)] = 192.0
     sockets: Annotated[int, Meta(ge=64)] = 256
 
 
-class _Document(msgspec.Struct, frozen=True):
+class _ConfigDocument(msgspec.Struct, frozen=True):
     listen: str
     discovery: str
     settings: dict[str, Any]
@@ -49,7 +48,7 @@
     discovery: tuple[str, int]
     seed: int
     limits: Limits
-    initial_list: bytes  # in discovery's form; empty where none was given
+    initial_list: bytes  # server list as a discovery document; empty if none was given
     settings_pairs: dict[str, str]  # the settings, flattened
     settings: api.Settings
     kinds: tuple[str, ...]
@@ -58,7 +57,7 @@
 
 
 def parse_address(text: str, path: str) -> tuple[str, int]:
-    """Host and port of ``host:port``.  Raises ConfigError."""
+    """Parse ``host:port``; ``path`` names the field in errors.  Raises ConfigError."""
     found = split_address(text)
     if found is None:
         raise ConfigError(f"{path}: found {text[:100]!r}; allowed: host:port")
@@ -66,17 +65,17 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Nested JSON as the path=value pairs of the simulator's first message."""
-    at = f"{path}." if path else ""
+    """Flatten nested JSON to the path=value pairs of the simulator's first message."""
+    prefix = f"{path}." if path else ""
     if isinstance(value, dict):
         pairs: dict[str, str] = {}
         for key, each in value.items():
-            pairs |= flatten(each, f"{at}{key}")
+            pairs |= flatten(each, f"{prefix}{key}")
         return pairs
     if isinstance(value, list) and any(isinstance(each, dict) for each in value):
-        pairs = {f"{at}count": str(len(value))}
+        pairs = {f"{prefix}count": str(len(value))}
         for n, each in enumerate(value):
-            pairs |= flatten(each, f"{at}{n}")
+            pairs |= flatten(each, f"{prefix}{n}")
         return pairs
     if isinstance(value, list):
         return {path: ",".join(_text(each) for each in value)}
@@ -90,57 +89,56 @@
 
 
 def parse(data: bytes) -> Config:
-    """The configuration of a file's bytes.  Raises ConfigError."""
+    """Parse a configuration file's bytes.  Raises ConfigError."""
     try:
-        told = msgspec.json.decode(data, type=_Document)
+        document = msgspec.json.decode(data, type=_ConfigDocument)
     except (msgspec.DecodeError, RecursionError) as error:
-        text, _, path = str(error).partition(" - at `")
-        whole = "" if isinstance(error, msgspec.ValidationError) else "; allowed: one JSON object, whole"
-        raise ConfigError(f"{path.rstrip('`') or '$'}: {text}{whole}") from None
+        reason, _, path = str(error).partition(" - at `")
+        expected = "" if isinstance(error, msgspec.ValidationError) else "; allowed: one JSON object, whole"
+        raise ConfigError(f"{path.rstrip('`') or '$'}: {reason}{expected}") from None
     try:
-        seed = int(told.seed, 16)
+        seed = int(document.seed, 16)
     except ValueError:
-        raise ConfigError(f"$.seed: found {told.seed[:40]!r}; allowed: hexadecimal digits") from None
-    pairs = flatten(told.settings)
+        raise ConfigError(f"$.seed: found {document.seed[:40]!r}; allowed: hexadecimal digits") from None
+    pairs = flatten(document.settings)
     try:
         settings = simulator_adapter.parse_settings(pairs)
     except ValueError as error:
         raise ConfigError(f"$.settings: {error}") from None
     _check_amounts(settings)
     return Config(
-        told.name,
-        parse_address(told.listen, "$.listen"),
-        parse_address(told.discovery, "$.discovery"),
+        document.name,
+        parse_address(document.listen, "$.listen"),
+        parse_address(document.discovery, "$.discovery"),
         seed,
-        told.limits,
-        bytes(told.known),
+        document.limits,
+        bytes(document.known),
         pairs,
         settings,
-        _names(told.settings, "kinds"),
-        _names(told.settings, "zones"),
-        int(_number(told.settings.get("bounds"), "conn_idle_ns", 15e9)),
+        _names(document.settings, "kinds"),
+        _names(document.settings, "zones"),
+        int(_number(document.settings.get("bounds"), "conn_idle_ns", 15e9)),
     )
 
 
 def deployment_mismatch(running: Config, other: Config) -> str:
-    """Why a configuration is not one of the deployment that runs; empty where it is.
+    """Why a configuration does not belong to the running deployment; empty if it does.
 
-    A router's tables, and what it learned, are of its classes, tenants and kinds of engines: a node takes others by
-    starting anew.
+    The router's tables and statistics are per class, tenant and kind of engine, so a change of these needs a restart.
     """
-    names = (
+    compared = (
         ("request_classes", [c.name for c in running.settings.classes], [c.name for c in other.settings.classes]),
         ("tenants", [t.name for t in running.settings.tenants], [t.name for t in other.settings.tenants]),
         ("kinds", list(running.kinds), list(other.kinds)),
     )
-    for key, ours, theirs in names:
+    for key, ours, theirs in compared:
         if theirs != ours:
             return f"$.settings.{key}: found {theirs}; allowed while the node runs: {ours}"
     return ""
 
 
 def _check_amounts(settings: api.Settings) -> None:
-    """Raise ConfigError for an amount that no decision can be made with: the types allow it, the meaning does not."""
+    """Raise ConfigError for an amount that has the right type but is out of range."""
     amounts = [
         ("bounds.connect_timeout_ns", settings.connect_timeout, 0),
         ("family_info.release_within_ns", settings.release_within, 0),
--- a/stonetrack/edge/documents.py
+++ b/stonetrack/edge/documents.py
@@ -1,47 +1,47 @@
-"""Whole JSON objects out of a discovery watch's bytes, however they are laid out.  No I/O.
+"""Splits the bytes of a discovery watch into JSON objects.  No I/O.
 
-The protocol has one object on each line; an object may also come indented, over many lines.  Empty lines keep a watch
-alive.  An object that is cut off before its end is handed on as it is at the next empty line, since none stands within
-an object: whoever takes it refuses it, and what follows is read again.
+The protocol sends one object per line; an object may also be indented, over many lines.  Empty lines keep a watch alive
+and do not occur within an object, so an object that is cut off ends at the next empty line: it is returned incomplete,
+its receiver refuses it, and the objects after it are split correctly.
 """
 
 from __future__ import annotations
 
 import re
 
-MAX_DOCUMENT_BYTES = 4 << 20  # bytes of one object
-_MARKS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings whole, so that braces within them do not count
-_WEIGHTS = {b"{": 1, b"[": 1, b"}": -1, b"]": -1}
+MAX_DOCUMENT_BYTES = 4 << 20  # of one object
+_TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings match as a whole, so that braces inside are not counted
+_DEPTH_CHANGE = {b"{": 1, b"[": 1, b"}": -1, b"]": -1}
 
 
 class DocumentError(ValueError):
-    """An object that can't be used: longer than ``MAX_DOCUMENT_BYTES`` bytes, or not what the protocol has."""
+    """An object that can't be used: longer than ``MAX_DOCUMENT_BYTES``, or not of the protocol's form."""
 
 
 class DocumentReader:
-    """Feed it bytes; it returns the objects that they complete."""
+    """Collects received bytes and returns the objects that they complete."""
 
     def __init__(self) -> None:
-        self._line = bytearray()  # not yet ended
-        self._lines = bytearray()  # of an object that is open
+        self._line = bytearray()  # not ended yet
+        self._object = bytearray()  # lines of an object that is not complete
         self._depth = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Objects that end in these bytes, as they came.  Raises DocumentError."""
+        """Add bytes; returns the objects that end in them, unchanged.  Raises DocumentError."""
         self._line += data
-        if len(self._line) + len(self._lines) > MAX_DOCUMENT_BYTES:
+        if len(self._line) + len(self._object) > MAX_DOCUMENT_BYTES:
             raise DocumentError(f"a document over {MAX_DOCUMENT_BYTES} bytes")
         *lines, rest = self._line.split(b"\n")
         self._line = bytearray(rest)
-        return [document for line in lines if (document := self._take(bytes(line)))]
+        return [document for line in lines if (document := self._add_line(bytes(line)))]
 
-    def _take(self, line: bytes) -> bytes:
-        """One line; the object that it ends, else nothing."""
+    def _add_line(self, line: bytes) -> bytes:
+        """Add one line; returns the object that it completes, else empty bytes."""
         if line.strip():
-            self._lines += line
-            self._depth += sum(_WEIGHTS.get(mark, 0) for mark in _MARKS.findall(line))
+            self._object += line
+            self._depth += sum(_DEPTH_CHANGE.get(token, 0) for token in _TOKENS.findall(line))
             if self._depth > 0:
                 return b""
-        document, self._depth = bytes(self._lines), 0
-        self._lines.clear()
+        document, self._depth = bytes(self._object), 0
+        self._object.clear()
         return document
--- a/stonetrack/edge/engine_table.py
+++ b/stonetrack/edge/engine_table.py
@@ -1,9 +1,9 @@
-"""Discovery's lists without I/O: documents in, ``ServerList`` events and addresses out.
+"""The engines as listed by the discovery service: turns documents into ``ServerList`` events and addresses.  No I/O.
 
-A document is ``{"rev", "all", "targets": [...]}``, a whole list or changes.  It is taken whole or, where it can't be
-read, not at all; a single target that can't be used (an unknown model, no address) is left out and named, since it must
-not take the news of all others with it.  Changes older than what is held are passed over.  A whole list that a fresh
-watch begins with is taken whatever its version: whoever sends it doesn't know ours.
+A document is ``{"rev", "all", "targets": [...]}``, a full list or changes.  It is applied as a whole or, if it can't be
+parsed, not at all.  A single target that can't be used (an unknown model, no address) is skipped and reported, so that
+the changes of all others still apply.  Changes older than the held revision are ignored.  A full list at the beginning
+of a watch is applied whatever its revision: its sender does not know ours.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 
 class ServerListError(DocumentError):
-    """A document that can't be read; the text says why."""
+    """A document that can't be parsed; the text says why."""
 
 
 class Target(msgspec.Struct, frozen=True):
-    """One engine as discovery gives it; ``boot_ms`` is Unix time, 0 for long ago."""
+    """One engine in discovery's form; ``boot_ms`` is Unix time, 0 for long ago."""
 
     uid: str
     endpoint: str = ""
@@ -43,7 +43,7 @@
 
 
 class Document(msgspec.Struct, frozen=True):
-    """A list, or changes to it."""
+    """A full list (``all``), or changes to the list."""
 
     rev: int
     targets: list[Target]
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """An engine as this node reaches it."""
+    """An engine's address and role as this node uses them."""
 
     name: str
     host: str
@@ -62,7 +62,7 @@
 
 
 class EngineTable:
-    """The list as last taken."""
+    """The engines of the latest list."""
 
     def __init__(self, kinds: tuple[str, ...], zones: tuple[str, ...], roles: tuple[api.Role, ...]) -> None:
         self._kinds = {name: n for n, name in enumerate(kinds)}
@@ -71,16 +71,16 @@
         self.engines: dict[str, Engine] = {}
         self.rev = -1
         self._starts = Starts()
-        self._heard = False  # whether any list but the one that the configuration brought was taken
-        self.skipped: list[str] = []  # what the last document held that can't be used
+        self._has_live_list = False  # whether any list other than the configuration's was applied
+        self.skipped: list[str] = []  # unusable targets of the last document, with the reason
 
     def apply(
         self, data: bytes, now: int, from_config: bool = False, first_of_watch: bool = False
     ) -> api.ServerList | None:
-        """The event of a document, None for one that is older than what is held.  Raises ServerListError.
+        """Apply a document; returns its event, None if the document is older than the held list.
 
-        ``now`` is the node's clock in nanoseconds.
-        ``from_config`` marks the list that the configuration brought, ``first_of_watch`` the first document of a watch.
+        ``now`` is the node's clock in nanoseconds.  ``from_config`` marks the list given in the configuration,
+        ``first_of_watch`` the first document of a watch.  Raises ServerListError.
         """
         try:
             document = msgspec.json.decode(data, type=Document)
@@ -97,30 +97,30 @@
             if entry.state is api.ServerState.REMOVED:
                 self.engines.pop(entry.server, None)
         self.rev = document.rev
-        self._heard = self._heard or not from_config
+        self._has_live_list = self._has_live_list or not from_config
         kind = api.ListKind.SAVED if from_config else api.ListKind.FULL if document.all else api.ListKind.CHANGES
         return api.ServerList(kind, document.rev, tuple(entries))
 
     def _entry(self, target: Target, now: int) -> api.ServerEntry | None:
         state = _STATES.get(target.state)
         if state is None:
-            self._pass(target, f"state {target.state[:40]!r}")
+            self._skip(target, f"state {target.state[:40]!r}")
             return None
         if state is api.ServerState.REMOVED:
             return api.ServerEntry(target.uid, 0, 0, target.pod_group, state)
         kind = self._kinds.get(target.model)
         if kind is None or kind >= len(self._roles):
-            self._pass(target, f"model {target.model[:40]!r}")
+            self._skip(target, f"model {target.model[:40]!r}")
             return None
         address = split_address(target.endpoint)
         if address is None:
-            self._pass(target, f"endpoint: found {target.endpoint[:100]!r}; allowed: host:port")
+            self._skip(target, f"endpoint: found {target.endpoint[:100]!r}; allowed: host:port")
             return None
         self.engines[target.uid] = Engine(target.uid, *address, self._roles[kind], state is api.ServerState.UP)
         weight = target.capacity_hint if 0.0 < target.capacity_hint < 1e6 else 1.0
         zone = self._zones.setdefault(target.az, len(self._zones))
-        started = self._starts.on_node_clock(target.uid, int(target.boot_ms * MS), now, self._heard)
+        started = self._starts.on_node_clock(target.uid, int(target.boot_ms * MS), now, self._has_live_list)
         return api.ServerEntry(target.uid, zone, kind, target.pod_group, state, weight, started)
 
-    def _pass(self, target: Target, why: str) -> None:
+    def _skip(self, target: Target, why: str) -> None:
         self.skipped.append(f"{target.uid[:60]}: {why}")
--- a/stonetrack/edge/engines.py
+++ b/stonetrack/edge/engines.py
@@ -1,4 +1,4 @@
-"""Engines reached by the platform's protocol (``ports.Engines``): attempts over a shared pool, places, releases."""
+"""Engines over the platform's protocol (implements ``ports.Engines``): pooled attempts, releases and probes."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 from stonetrack.wire import http1, writer
 
 HOST = "origin.svc"
-CANCEL_CONFIRM_S = 0.02  # seconds in which an engine may show that it saw an attempt taken back
+CANCEL_CONFIRM_S = 0.02  # an engine that sees a cancelled attempt closes its side within this time
 _LIMITS = http1.Limits(head=16_384, headers=64, body=8 << 20)
 
 
-def build_request(ask: Ask, left: int) -> bytes:
-    """One attempt's request; ``left`` nanoseconds is how long the node will wait."""
+def build_request(ask: Ask, time_left: int) -> bytes:
+    """Encode the HTTP request of one attempt; ``time_left`` is how long the node waits for it, in nanoseconds."""
     body = ask.body
     headers = [
         ("Host", HOST),
         (ID_HEADER.title(), ask.request),
-        (TIME_LEFT_HEADER.title(), f"{max(left // 1_000_000, 1)}m"),
+        (TIME_LEFT_HEADER.title(), f"{max(time_left // 1_000_000, 1)}m"),
         *body.headers,
     ]
     return writer.request("POST", body.target, headers, body.data)
 
 
-def _age(age: float | None) -> str:
+def _describe_age(age: float | None) -> str:
     return "new connection" if age is None else f"connection kept for {age:.3f} s"
 
 
 class EdgeEngines:
-    """Reaches the engines of the current list."""
+    """Starts attempts, releases and probes at the engines of the current server list."""
 
     def __init__(
         self,
@@ -55,20 +55,20 @@
         probes: Probes,
         clock: Callable[[], int],
         connect_timeout: float,
-        read_report: ParseLoadReport,
+        parse_report: ParseLoadReport,
         trace: Callable[[str], None] | None = None,
         records: Records | None = None,
         closed_for: Callable[[str], int] = lambda server: 0,
         abandoned: AbandonedPrefills | None = None,
     ) -> None:
         self.pool, self.releases, self.probes, self.abandoned = pool, releases, probes, abandoned
-        self._clock, self._connect, self._read_report = clock, connect_timeout, read_report
+        self._clock, self._connect_timeout, self._parse_report = clock, connect_timeout, parse_report
         self._engines: dict[str, Engine] = {}
         self._trace, self._records, self._closed_for = trace, records, closed_for
-        self._traced: WeakKeyDictionary[SocketAttempt, str] = WeakKeyDictionary()  # filled while there is a trace
+        self._traced_attempts: WeakKeyDictionary[SocketAttempt, str] = WeakKeyDictionary()  # by server; only if tracing
 
     def list_changed(self, engines: dict[str, Engine]) -> None:
-        """Take the addresses of a new list; what is kept to others is closed."""
+        """Use the addresses of a new list; idle connections to other addresses are closed."""
         self._engines = engines
         self.releases.list_changed(engines)
         self.probes.list_changed(engines)
@@ -80,80 +80,80 @@
         """See ``ports.Engines.start``."""
         engine = self._engines.get(server)
         if engine is None or not may_send(server):
-            return Over(api.Outcome.NOT_SENT, f"engine {server} is leaving or gone")
+            return Over(api.Outcome.NOT_SENT, f"engine {server} is draining or gone")
         try:
-            # A release that is still open is tried on while this connects: an engine that is cut off takes all of
-            # the time for connecting, and nothing of the request is out meanwhile.
-            sock, age = self.pool.take(engine.host, engine.port, self._connect)
-            settled = self.releases.await_release(ask.request)
-            if settled is not ReleaseWaitResult.NONE_PENDING and age is not None and readable(sock):
-                close(sock)  # it was closed while the release was waited for
-                sock, age = self.pool.take(engine.host, engine.port, self._connect)
+            # A pending release is retried while this connects: at an unreachable engine, connecting lasts for the whole
+            # timeout, and nothing of the request has been sent meanwhile.
+            sock, age = self.pool.take(engine.host, engine.port, self._connect_timeout)
+            wait_result = self.releases.await_release(ask.request)
+            if wait_result is not ReleaseWaitResult.NONE_PENDING and age is not None and readable(sock):
+                close(sock)  # the engine closed it while the release was awaited
+                sock, age = self.pool.take(engine.host, engine.port, self._connect_timeout)
         except OSError as error:
             if self._trace is not None:
                 self._trace(f"trace connect {server}: {type(error).__name__} {error}")
-            short = isinstance(error, MachineShort)  # no fault of the engine's
-            outcome = api.Outcome.NOT_SENT if short else api.Outcome.CONNECT_FAILED
+            exhausted = isinstance(error, MachineShort)  # a local shortage, not a failure of the engine
+            outcome = api.Outcome.NOT_SENT if exhausted else api.Outcome.CONNECT_FAILED
             return Over(outcome, f"engine {server}: {error}")
-        if settled is ReleaseWaitResult.UNACKNOWLEDGED:
-            close(sock)  # not given back: nothing was heard on it
-            return Over(api.Outcome.NOT_SENT, "an older release of the request is not heard yet")
-        if not may_send(server):  # a list may have come while we connected
+        if wait_result is ReleaseWaitResult.UNACKNOWLEDGED:
+            close(sock)  # not returned to the pool: nothing was received on it, so it may be dead
+            return Over(api.Outcome.NOT_SENT, "an older release of the request is not acknowledged yet")
+        if not may_send(server):  # a new list may have arrived while connecting
             reset(sock)
-            return Over(api.Outcome.NOT_SENT, f"engine {server} is leaving")
+            return Over(api.Outcome.NOT_SENT, f"engine {server} is draining")
         if self._trace is not None:
             self._trace(f"trace conn {ask.request} {number} {server} {age}")
-        left = ask.body.deadline - self._clock()
+        time_left = ask.body.deadline - self._clock()
         if self._records is not None:
-            reads = engine.role is api.Role.READER
+            is_prefill = engine.role is api.Role.READER
             self._records.note(
                 ask.request,
                 Step.SENT,
                 server,
                 number,
-                why=_age(age),
-                reads=reads,
-                time_told=left,
+                why=_describe_age(age),
+                reads=is_prefill,
+                time_told=time_left,
                 closed_for=self._closed_for(server),
             )
         attempt = SocketAttempt(
             sock,
-            build_request(ask, left),
-            Exchange(engine.role, _LIMITS, self._read_report, lambda: self.pool.unanswered(age)),
+            build_request(ask, time_left),
+            Exchange(engine.role, _LIMITS, self._parse_report, lambda: self.pool.unanswered(age)),
             CANCEL_CONFIRM_S,
-            lambda back: self.pool.give(engine.host, engine.port, back),
+            lambda returned: self.pool.give(engine.host, engine.port, returned),
             api.Outcome.CONNECT_FAILED,
-            self._abandon(ask.request, engine),
+            self._abandon_callback(ask.request, engine),
         )
         if self._trace is not None:
-            self._traced[attempt] = server
+            self._traced_attempts[attempt] = server
         for event in attempt.push():
             if isinstance(event, Over):
                 return event
         return attempt
 
-    def _abandon(self, request: str, engine: Engine) -> Callable[[socket.socket | None], None] | None:
-        """What takes over an attempt that ends without its engine's word; only a read may leave something."""
+    def _abandon_callback(self, request: str, engine: Engine) -> Callable[[socket.socket | None], None] | None:
+        """What to call when an attempt ends without its engine's answer; None for a decode, which leaves no state."""
         if self.abandoned is None or engine.role is not api.Role.READER:
             return None
         return partial(self.abandoned.add, request, engine)
 
     def open_attempts(self) -> Counter[str]:
-        """Attempts whose sockets are open, by server; only while there is a trace."""
-        return Counter(server for attempt, server in list(self._traced.items()) if attempt.fileno() >= 0)
+        """Number of attempts with open sockets, by server; counted only if tracing is on."""
+        return Counter(server for attempt, server in list(self._traced_attempts.items()) if attempt.fileno() >= 0)
 
     def idle_connections(self, server: str) -> int:
-        """Idle connections to a server."""
+        """Number of idle connections to a server."""
         engine = self._engines.get(server)
         return self.pool.kept(engine.host, engine.port) if engine is not None else 0
 
     def hold(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
-        """See ``ports.Engines.hold``: the platform's node asks for no reservation (docs/obligations.md)."""
+        """See ``ports.Engines.hold``: the platform's node requests no reservation (docs/obligations.md)."""
         answer(False)
 
     def release(self, request: str, reader: str, state: Any, place: str, number: int, rest: bool) -> None:
-        """See ``ports.Engines.release``.  One call lets go of all that is held for a request, so with ``rest`` there
-        is none: a place is given up by the send elsewhere, a writer that failed holds nothing of its own."""
+        """See ``ports.Engines.release``.  One call releases all that is held for a request, so with ``rest`` none is
+        made: a reservation ends with the send elsewhere, and a decode engine that failed holds nothing of its own."""
         if not rest:
             self.releases.release(request)
 
--- a/stonetrack/edge/metrics.py
+++ b/stonetrack/edge/metrics.py
@@ -1,6 +1,6 @@
-"""What one node counts, in the text form of Prometheus (``GET /metrics``).
+"""Metrics of one node in the Prometheus text format (``GET /metrics``).
 
-``prometheus_client`` is imported when somebody asks: a node whose metrics nobody reads does not carry it.
+``prometheus_client`` is imported at the first request, so that a node without a scraper does not load it.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 PREFIX = "stonetrack_edge_"
 
 
-def _text(key: Enum | str) -> str:
+def _label(key: Enum | str) -> str:
     return key if isinstance(key, str) else key.name.lower()
 
 
 class _Collector:
-    """The families of one node, read when they are asked for."""
+    """Collects the metric families of one node at each scrape."""
 
     def __init__(self, node: EdgeNode) -> None:
         self._node = node
 
     def collect(self) -> Iterator[Any]:
-        """All families."""
+        """Yield all metric families."""
         records = self._node.records
-        broken = {each: records.violations[each] for each in Invariant}  # also those that never happened
-        yield self._counter("invariant_violations", "Invariants that did not hold, by name", "invariant", broken)
+        violations = {each: records.violations[each] for each in Invariant}  # with zeros, so that each has a series
+        yield self._counter("invariant_violations", "Invariants that did not hold, by name", "invariant", violations)
         yield self._counter("attempt_refusals", "Attempts that the guard kept from beginning", "why", records.refusals)
         yield self._counter("attempts", "Attempts by how they ended", "outcome", records.outcomes)
         yield self._counter("answers", "Final answers by kind", "kind", records.answers)
@@ -47,12 +47,12 @@
         yield self._gauges()
 
     @staticmethod
-    def _counter(name: str, text: str, label: str, counts: Counter[Any] | dict[Any, int]) -> Any:
+    def _counter(name: str, help_text: str, label: str, counts: Counter[Any] | dict[Any, int]) -> Any:
         from prometheus_client.core import CounterMetricFamily
 
-        family = CounterMetricFamily(PREFIX + name, text, labels=[label])
-        for key, count in sorted(counts.items(), key=lambda pair: _text(pair[0])):
-            family.add_metric([_text(key)], count)
+        family = CounterMetricFamily(PREFIX + name, help_text, labels=[label])
+        for key, count in sorted(counts.items(), key=lambda pair: _label(pair[0])):
+            family.add_metric([_label(key)], count)
         return family
 
     def _gauges(self) -> Any:
@@ -74,7 +74,7 @@
 
 
 def exposition(node: EdgeNode) -> str:
-    """All metrics of a node as text."""
+    """All metrics of a node in the Prometheus text format."""
     from prometheus_client import CollectorRegistry
     from prometheus_client.exposition import generate_latest
 
--- a/stonetrack/edge/probes.py
+++ b/stonetrack/edge/probes.py
@@ -1,6 +1,6 @@
-"""Load reports asked for: ``GET /metrics/load`` on a few threads over the shared pool.
+"""Load probes: ``GET /metrics/load`` on a few threads over the shared pool.
 
-The router asks right before it sends a prompt, so an answer that comes late is of no use: what waits for a thread for
+The router probes right before it sends a prompt, so a late answer is useless: a probe that has waited for a thread for
 longer than ``STALE_NS`` is dropped, and the queue is short.
 """
 
@@ -19,26 +19,26 @@
 from stonetrack.wire import writer
 
 PATH = "/metrics/load"
-TIMEOUT_S = 0.1  # seconds for one probe
-STALE_NS = 50_000_000  # nanoseconds after which a probe that waits is not wanted any more
-_MOST = 32  # waiting
+TIMEOUT_S = 0.1  # of one probe
+STALE_NS = 50_000_000  # a probe that has waited for longer is dropped
+_MAX_QUEUED = 32
 
 
 class Probes:
-    """Runs the probes; ``probed`` gets each one's result."""
+    """Runs probes on background threads; ``on_probed`` gets the result of each."""
 
     def __init__(
         self,
         calls: EngineCalls,
         clock: Callable[[], int],
-        read_report: ParseLoadReport,
-        probed: Callable[[api.ProbeEnded], None],
+        parse_report: ParseLoadReport,
+        on_probed: Callable[[api.ProbeEnded], None],
         threads: int = 3,
         log: Callable[[str], None] = lambda text: None,
     ) -> None:
-        self._calls, self._clock, self._read_report, self._probed = calls, clock, read_report, probed
+        self._calls, self._clock, self._parse_report, self._on_probed = calls, clock, parse_report, on_probed
         self._engines: dict[str, Engine] = {}
-        self._jobs: queue.Queue[tuple[str, int] | None] = queue.Queue(_MOST)
+        self._queue: queue.Queue[tuple[str, int] | None] = queue.Queue(_MAX_QUEUED)
         self._threads = [lasting(f"probes-{n}", self._run, log) for n in range(threads)]
 
     def start(self) -> None:
@@ -47,25 +47,25 @@
             thread.start()
 
     def stop(self) -> None:
-        """Stop the threads; what waits is dropped."""
+        """Stop the threads; queued probes are dropped."""
         for _ in self._threads:
             with contextlib.suppress(queue.Full):
-                self._jobs.put_nowait(None)
+                self._queue.put_nowait(None)
 
     def list_changed(self, engines: dict[str, Engine]) -> None:
-        """Take a new list."""
+        """Use the engines of a new list."""
         self._engines = engines
 
     def probe(self, server: str) -> None:
-        """Ask for a report, in the background."""
+        """Request a load report, in the background; dropped if the queue is full."""
         with contextlib.suppress(queue.Full):
-            self._jobs.put_nowait((server, self._clock()))
+            self._queue.put_nowait((server, self._clock()))
 
     def _run(self) -> None:
-        while (job := self._jobs.get()) is not None:
-            server, since = job
+        while (queued := self._queue.get()) is not None:
+            server, queued_at = queued
             engine = self._engines.get(server)
-            if engine is None or self._clock() - since > STALE_NS:
+            if engine is None or self._clock() - queued_at > STALE_NS:
                 continue
             message = writer.request("GET", PATH, [("Host", f"{engine.host}:{engine.port}")])
             report = None
@@ -79,6 +79,6 @@
                 outcome = api.Outcome.CONNECT_FAILED
             else:
                 outcome = api.Outcome.SERVED if answer.head.status == 200 else api.Outcome.ERROR
-                told = answer.head.headers.get(LOAD_HEADER) or answer.body.decode("latin-1").strip()
-                report = self._read_report(pairs) if (pairs := load_report_pairs(told)) else None
-            self._probed(api.ProbeEnded(server, outcome, self._clock() - since, report))
+                text = answer.head.headers.get(LOAD_HEADER) or answer.body.decode("latin-1").strip()
+                report = self._parse_report(pairs) if (pairs := load_report_pairs(text)) else None
+            self._on_probed(api.ProbeEnded(server, outcome, self._clock() - queued_at, report))
--- a/stonetrack/edge/releases.py
+++ b/stonetrack/edge/releases.py
@@ -1,16 +1,17 @@
 """Releases of all that is held for a request: ``DELETE /kv/leases/ID``, in the background.
 
-A release names the request alone and any engine carries it out for all, so it goes to whichever is likeliest to hear
-it: the one that answered anything last and has not failed since, another at each further try, until one answers.  Kept
-connections say less: they are most where engines fell silent, since nothing that was sent there came back to use them.
-
-Order.  A release that is decided before an attempt reaches an engine before it: one that came during the new read would
-let go of what that reads (seen: 3 of 5 reads done anew ended at the writer as 410).  So an attempt that has its
-connection waits for its request's release, ``RELEASE_WAIT_S`` at most; while that is not heard the attempt does not
-begin.  A release is never dropped for an attempt: the attempt may not arrive, and then nobody would release what is
-held.
-
-What a prefill attempt may yet leave that was given up is owed beyond that (:mod:`.abandoned`).
+A release names the request alone and any engine performs it for all engines, so it goes to the one most likely to
+answer: the engine that answered anything last and has not failed since, and another one at each retry, until one
+answers.  The number of idle connections says less: it is highest at engines that fell silent, since no request that was
+sent there ended and reused one.
+
+Order: a release that is decided before an attempt has to reach an engine before the attempt does.  One that arrives
+during the new prefill would drop the state that it builds (observed: 3 of 5 repeated prefills ended with 410 at the
+decode engine).  So an attempt that has its connection waits for the request's release, ``RELEASE_WAIT_S`` at most, and
+does not start if that is not acknowledged.  A release is never dropped in favour of an attempt: the attempt may not
+arrive, and the held state would then leak.
+
+What a cancelled prefill may still leave behind is released by :mod:`.abandoned`.
 """
 
 from __future__ import annotations
@@ -28,13 +29,13 @@
 from stonetrack.wire import writer
 
 PATH = "/kv/leases/"
-RELEASE_TIMEOUT_S = 0.12  # seconds; where any engine may answer, the next is tried after that
-OWN_RELEASE_TIMEOUT_S = 1.0  # seconds; one that stands still answers what lies there once it goes on
-RELEASE_WAIT_S = 0.3  # seconds for which an attempt waits for an older release of its request: two tries of it
+RELEASE_TIMEOUT_S = 0.12  # where any engine may answer; after that the next one is tried
+OWN_RELEASE_TIMEOUT_S = 1.0  # where one engine has to answer: a stopped engine answers pending calls once it resumes
+RELEASE_WAIT_S = 0.3  # an attempt waits so long for an older release of its request: time for two tries
 
 
 class ReleaseWaitResult(Enum):
-    """What became of a request's release before its new attempt."""
+    """Result of waiting for a request's pending release before its new attempt."""
 
     NONE_PENDING = "there was none"
     ACKNOWLEDGED = "heard"
@@ -42,21 +43,25 @@
 
 
 def choose_engine(
-    engines: list[Engine], heard: Callable[[Engine], float], suspects: dict[str, int], now: int, tried: set[str]
+    engines: list[Engine],
+    last_heard: Callable[[Engine], float],
+    suspect_until: dict[str, int],
+    now: int,
+    tried: set[str],
 ) -> Engine | None:
-    """The engine for a release's next try: not one that it was sent to already, nor one that failed of late; up; the
-    last that answered anything.  Notes it as tried; once all were, all may be again."""
+    """Choose the engine for a release's next try, by preference: not tried yet, not failed recently, up, the last to
+    answer anything.  Adds it to ``tried``, which is cleared once it holds all engines."""
     if tried.issuperset(engine.name for engine in engines):
         tried.clear()
     if not engines:
         return None
-    best = min(engines, key=lambda e: (e.name in tried, suspects.get(e.name, 0) > now, not e.up, -heard(e)))
+    best = min(engines, key=lambda e: (e.name in tried, suspect_until.get(e.name, 0) > now, not e.up, -last_heard(e)))
     tried.add(best.name)
     return best
 
 
 class Releases:
-    """Runs the calls on a few threads."""
+    """Sends releases on a few background threads and retries them until they are acknowledged."""
 
     def __init__(
         self,
@@ -69,63 +74,63 @@
     ) -> None:
         self._calls, self._clock, self._records = calls, clock, records
         self._engines: dict[str, Engine] = {}
-        self._releasing = Releasing(clock, release_within, threads, self.try_any_engine, self._over, log=log)
-        self._open: dict[str, int] = {}  # releases that wait, by request; guarded as the book is
+        self._releasing = Releasing(clock, release_within, threads, self.try_any_engine, self._release_ended, log=log)
+        self._pending: dict[str, int] = {}  # numbers in the book by request; guarded by the same lock as the book
 
     def start(self) -> None:
         """Start the threads."""
         self._releasing.start()
 
     def stop(self) -> None:
-        """Stop the threads; what is open stays so."""
+        """Stop the threads; pending releases are not sent."""
         self._releasing.stop(0.0)
 
     def list_changed(self, engines: dict[str, Engine]) -> None:
-        """Take a new list."""
+        """Use the engines of a new list."""
         self._engines = engines
 
     @property
     def open(self) -> int:
-        """Releases not heard yet."""
+        """Number of releases that are not acknowledged yet."""
         return len(self._releasing)
 
     def wait(self, seconds: float) -> bool:
-        """Let open releases end for so many seconds; whether all did."""
+        """Wait up to so many seconds for pending releases; returns whether all ended."""
         end = time.monotonic() + seconds
         while self.open and time.monotonic() < end:
             time.sleep(0.01)
         return not self.open
 
     def await_release(self, request: str) -> ReleaseWaitResult:
-        """A new attempt has its connection: see that what was decided before comes before it, or not at all.
+        """Wait, before a new attempt starts on its connection, until the request's pending release is acknowledged.
 
-        Owed: ``Obligation.RELEASE``."""
-        if request not in self._open:
+        Fulfils ``Obligation.RELEASE``."""
+        if request not in self._pending:
             return ReleaseWaitResult.NONE_PENDING
         with self._releasing.changed:
-            heard = self._releasing.settle(lambda: request not in self._open, RELEASE_WAIT_S)
-            return ReleaseWaitResult.ACKNOWLEDGED if heard else ReleaseWaitResult.UNACKNOWLEDGED
+            acknowledged = self._releasing.settle(lambda: request not in self._pending, RELEASE_WAIT_S)
+            return ReleaseWaitResult.ACKNOWLEDGED if acknowledged else ReleaseWaitResult.UNACKNOWLEDGED
 
     def release(self, request: str) -> None:
-        """Let go of all that is held for a request."""
+        """Release all that is held for a request, in the background."""
         self._note(request, Step.RELEASE_DECIDED)
         self._add(request)
 
     def _add(self, request: str) -> None:
         with self._releasing.changed:
             book = self._releasing.book
-            if request not in self._open:
-                self._open[request] = book.add(Item(request, "", 0, None, self._clock()))
-                if len(self._open) > 2 * book.most:  # the book dropped releases that were never tried
-                    self._open = {name: number for name, number in self._open.items() if number in book}
+            if request not in self._pending:
+                self._pending[request] = book.add(Item(request, "", 0, None, self._clock()))
+                if len(self._pending) > 2 * book.most:  # the book dropped some that were never tried
+                    self._pending = {name: number for name, number in self._pending.items() if number in book}
                 self._releasing.changed.notify_all()
 
-    def _over(self, number: int, item: Item) -> None:
-        if self._open.get(item.request) == number:
-            del self._open[item.request]
+    def _release_ended(self, number: int, item: Item) -> None:
+        if self._pending.get(item.request) == number:
+            del self._pending[item.request]
 
     def try_any_engine(self, item: Item) -> Heard:
-        """One try of a release, at the engine that is likeliest to hear it.  Owed: ``Obligation.RELEASE``."""
+        """Try a release once, at the engine most likely to answer.  Fulfils ``Obligation.RELEASE``."""
         engines = list(self._engines.values())
         engine = choose_engine(engines, self._calls.last_heard, self._calls.suspect_until, self._clock(), item.tried)
         if engine is None:
@@ -137,21 +142,21 @@
             return Heard.AGAIN  # the next try goes to another engine
 
     def try_one_engine(self, engine: Engine, request: str) -> Heard:
-        """One try of a release at one engine, at its present address."""
+        """Try a release once at one engine, at its current address."""
         listed = self._engines.get(engine.name)
         try:
             return self._call(listed or engine, request, self._clock(), OWN_RELEASE_TIMEOUT_S)
         except ConnectionRefusedError:
-            return Heard.DONE  # its process is gone, with all that it held
+            return Heard.DONE  # the engine's process is gone, and all that it held
         except OSError:
             return Heard.GONE if listed is None else Heard.AWAY
 
     def _call(self, engine: Engine, request: str, decided: int, timeout: float) -> Heard:
-        """One call.  Raises OSError."""
+        """Send one release and record its result.  Raises OSError."""
         message = writer.request("DELETE", PATH + request, [("Host", f"{engine.host}:{engine.port}")], None)
         status = self._calls.call(engine, message, timeout).head.status
-        heard = Step.RELEASE_HEARD if status < 500 else Step.RELEASE_UNHEARD
-        self._note(request, heard, engine.name, why=str(status), decided=decided)
+        step = Step.RELEASE_HEARD if status < 500 else Step.RELEASE_UNHEARD
+        self._note(request, step, engine.name, why=str(status), decided=decided)
         return Heard.DONE if status < 500 else Heard.AGAIN
 
     def _note(self, request: str, step: Step, engine: str = "", why: str = "", decided: int = 0) -> None:
--- a/stonetrack/edge/request_ids.py
+++ b/stonetrack/edge/request_ids.py
@@ -1,7 +1,7 @@
-"""Requests' ids under way and of late, so that none is served twice.  No I/O, no clock.
+"""Ids of running and recent requests, so that no id is served twice.  No I/O, no clock.
 
-Every request carries a new id, and so does a client's retry: an id that comes again is not its client's.  Served as a
-request of its own it would be taken for the first one by engines: they keep states and places by id.
+Every request carries a new id, and so does a client's retry, so a repeated id is a client's mistake.  Engines key held
+states and reservations by id: if the repeated request were served, they would confuse it with the first.
 """
 
 from __future__ import annotations
@@ -9,24 +9,24 @@
 from collections import OrderedDict
 
 SECOND = 1_000_000_000
-RETENTION_NS = 60 * SECOND  # longer than any attempt, state or place of a request lasts
-MAX_IDS = 4_096  # ids remembered; past that the oldest are forgotten first
+RETENTION_NS = 60 * SECOND  # longer than any attempt, held state or reservation of a request lasts
+MAX_IDS = 4_096  # above that the oldest are dropped
 
 
 class RecentRequestIds:
-    """The ids taken so far; times in nanoseconds of one clock.  Not safe for several threads."""
+    """The ids added within ``RETENTION_NS``; times in nanoseconds of one clock.  Not thread-safe."""
 
     def __init__(self) -> None:
-        self._taken: OrderedDict[str, int] = OrderedDict()  # when each came, oldest first
+        self._added: OrderedDict[str, int] = OrderedDict()  # time of each id, oldest first
 
     def __len__(self) -> int:
-        return len(self._taken)
+        return len(self._added)
 
     def add(self, request: str, now: int) -> bool:
-        """Take an id; False where it was taken of late."""
-        while self._taken and (now - next(iter(self._taken.values())) > RETENTION_NS or len(self._taken) >= MAX_IDS):
-            self._taken.popitem(last=False)
-        if request in self._taken:
+        """Add an id; returns False if it was added recently."""
+        while self._added and (now - next(iter(self._added.values())) > RETENTION_NS or len(self._added) >= MAX_IDS):
+            self._added.popitem(last=False)
+        if request in self._added:
             return False
-        self._taken[request] = now
+        self._added[request] = now
         return True
--- a/stonetrack/edge/requests.py
+++ b/stonetrack/edge/requests.py
@@ -1,9 +1,10 @@
-"""A client's request as the router is to see it, or why it can't be taken.  No I/O.
+"""Parses a client's request for the router, or says why it is refused.  No I/O.
 
-Only heads are read; the body goes to the engines as it came, and what is in it is theirs to judge.  So do headers that
-are not of one connection alone (RFC 9110, 7.6.1): an idempotency key is the client's and the engines', also where the
-node has no use for it.  All that is doubtful in a head that decides something is refused: an id goes into the path of
-calls to engines, so it is held to plain characters; a header that stands twice is read by nobody knows whom.
+Only the head is parsed; the body is forwarded to the engines unchanged, and they validate it.  So are all headers that
+are not hop-by-hop (RFC 9110, 7.6.1): an idempotency key, for example, is between the client and the engines, also where
+the node does not use it.  Headers that the node decides by are parsed strictly: an id becomes part of the path of calls
+to engines, so its characters are restricted; a header that occurs twice is refused, since receivers differ in which one
+they use.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 
 MS = 1_000_000
 CHAT_PATH = "/v1/chat/completions"
-CHARACTERS_PER_TOKEN = 4  # the protocol's own measure
-ANSWER_MARGIN_NS = 30 * MS  # for the way of a last answer back to the client
-MAX_TIME_LEFT_NS = 600_000 * MS  # more time left than this is taken as this
+CHARACTERS_PER_TOKEN = 4  # the protocol's estimate
+ANSWER_MARGIN_NS = 30 * MS  # reserved for the final answer's way back to the client
+MAX_TIME_LEFT_NS = 600_000 * MS  # a longer time left is capped
 
 _ID = re.compile(r"[0-9A-Za-z_.:-]{1,128}")
 _TIME = re.compile(r"([0-9]{1,15})([mu])")
@@ -34,15 +35,15 @@
     "x-repeat",
     "x-account",
 )
-_OF_ONE_CONNECTION = frozenset({
+_HOP_BY_HOP = frozenset({
     "connection", "expect", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te",
     "trailer", "transfer-encoding", "upgrade",
 })  # fmt: skip
-_WRITTEN_ANEW = frozenset({"host", "content-length", ID_HEADER, TIME_LEFT_HEADER})
+_REPLACED = frozenset({"host", "content-length", ID_HEADER, TIME_LEFT_HEADER})
 
 
 class BadRequest(ValueError):
-    """A request that can't be taken; ``status`` is the answer's."""
+    """A request that is refused; ``status`` is the HTTP status of the answer."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -51,7 +52,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedRequest:
-    """What goes to the engines unchanged, and when the client stops waiting for a first event (node's clock, ns)."""
+    """What is forwarded to the engines unchanged, and the time up to which the client waits for the first event (node's
+    clock, ns)."""
 
     target: str
     data: bytes
@@ -60,7 +62,7 @@
 
 
 def parse_time_left(text: str) -> int:
-    """Nanoseconds of a time-left header.  Raises BadRequest."""
+    """Parse a time-left header to nanoseconds.  Raises BadRequest."""
     found = _TIME.fullmatch(text)
     if found is None or not int(found.group(1)):
         raise BadRequest(f"{TIME_LEFT_HEADER}: found {text[:40]!r}; allowed: a whole number from 1 on, then m or u")
@@ -68,7 +70,7 @@
 
 
 def parse_facts(text: str) -> dict[str, str]:
-    """The pairs of a facts header.  Raises BadRequest."""
+    """Parse the name=value pairs of a facts header.  Raises BadRequest."""
     pairs: dict[str, str] = {}
     for part in text.split(",") if text else ():
         found = _FACT.fullmatch(part.strip())
@@ -78,7 +80,7 @@
     return pairs
 
 
-def _count(pairs: dict[str, str], name: str, default: int) -> int:
+def _parse_token_count(pairs: dict[str, str], name: str, default: int) -> int:
     text = pairs.get(name)
     if text is None:
         return default
@@ -87,22 +89,22 @@
     return int(text)
 
 
-def _one(headers: Headers, name: str) -> str:
+def _single_header(headers: Headers, name: str) -> str:
     found = headers.all(name)
     if len(found) > 1:
-        raise BadRequest(f"{name}: stands {len(found)} times; once is allowed")
+        raise BadRequest(f"{name}: found {len(found)} times; allowed: once")
     return found[0] if found else ""
 
 
 def forwarded_headers(headers: Headers) -> tuple[tuple[str, str], ...]:
-    """The headers that go to the engines as they came."""
-    dropped = _OF_ONE_CONNECTION | _WRITTEN_ANEW | set(headers.tokens("connection"))
+    """The headers that are forwarded to the engines unchanged."""
+    dropped = _HOP_BY_HOP | _REPLACED | set(headers.tokens("connection"))
     return tuple((name.title(), value) for name, value in headers if name not in dropped)
 
 
-def _tenant(headers: Headers, tenants: dict[str, int]) -> int:
-    """The tenant's number; 0 where the deployment has none or the request names none."""
-    name = _one(headers, TENANT_HEADER)
+def _parse_tenant(headers: Headers, tenants: dict[str, int]) -> int:
+    """The tenant's number; 0 if the deployment has no tenants or the request names none."""
+    name = _single_header(headers, TENANT_HEADER)
     if not tenants or not name:
         return 0
     if name not in tenants:
@@ -111,30 +113,32 @@
 
 
 def parse_request(
-    head: RequestHead, body: bytes, classes: dict[str, int], waited: int, now: int, tenants: dict[str, int]
+    head: RequestHead, body: bytes, classes: dict[str, int], waited_ns: int, now: int, tenants: dict[str, int]
 ) -> Ask:
-    """The request, ``waited`` nanoseconds after its head came; classes and tenants by name.  Raises BadRequest."""
+    """Parse a request whose head arrived ``waited_ns`` ago; ``classes`` and ``tenants`` map names to numbers.
+
+    ``now`` is the node's clock in nanoseconds.  Raises BadRequest."""
     headers = head.headers
-    request = _one(headers, ID_HEADER)
+    request = _single_header(headers, ID_HEADER)
     if not _ID.fullmatch(request):
         raise BadRequest(f"{ID_HEADER}: found {request[:40]!r}; allowed: 1 to 128 letters, digits, _ . : -")
-    name = _one(headers, CLASS_HEADER)
+    name = _single_header(headers, CLASS_HEADER)
     if name not in classes:
         raise BadRequest(f"{CLASS_HEADER}: found {name[:40]!r}; allowed: {', '.join(classes)}")
-    left = parse_time_left(_one(headers, TIME_LEFT_HEADER)) - waited
-    told = parse_facts(_one(headers, FACTS_HEADER))
-    prompt = _count(told, "prompt_len", len(body) // CHARACTERS_PER_TOKEN)
-    beginning = told.get("prefix")
+    time_left = parse_time_left(_single_header(headers, TIME_LEFT_HEADER)) - waited_ns
+    facts = parse_facts(_single_header(headers, FACTS_HEADER))
+    prompt_tokens = _parse_token_count(facts, "prompt_len", len(body) // CHARACTERS_PER_TOKEN)
+    shared_prefix = facts.get("prefix")
     return Ask(
         request,
         classes[name],
-        _one(headers, SESSION_HEADER)[:200],
-        max(left - ANSWER_MARGIN_NS, 0),
-        max(prompt, 1),
-        ForwardedRequest(head.target, body, now + left, forwarded_headers(headers)),
-        beginning if beginning not in (None, "0") else None,
-        min(_count(told, "prefix_len", 0), prompt),
-        _count(told, "max_out", 0),
-        tenant=_tenant(headers, tenants),
-        repeated=_one(headers, REPEAT_HEADER) == "1",
+        _single_header(headers, SESSION_HEADER)[:200],
+        max(time_left - ANSWER_MARGIN_NS, 0),
+        max(prompt_tokens, 1),
+        ForwardedRequest(head.target, body, now + time_left, forwarded_headers(headers)),
+        shared_prefix if shared_prefix not in (None, "0") else None,
+        min(_parse_token_count(facts, "prefix_len", 0), prompt_tokens),
+        _parse_token_count(facts, "max_out", 0),
+        tenant=_parse_tenant(headers, tenants),
+        repeated=_single_header(headers, REPEAT_HEADER) == "1",
     )
--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -1,12 +1,13 @@
-"""One node in service: what it is told, its parts put together, its signals, its end.
+"""The process of one node: wires the parts together, handles signals, drains on TERM.
 
-Signals are waited for by the main thread alone (``sigtimedwait``), blocked everywhere else, so that none can come
-between two steps of anything.  TERM: for a while clients still come, and what they send counts as taken; so accepting
-goes on for ``ACCEPTING_S`` seconds, with answers that close their connections; idle ones are closed at once.
-What comes
-later is refused at once, since the end may come before its answer; the rest is served to its end.  HUP: the
-file is read again; a new address of discovery is followed from then on, and all else stays: router, tables,
-requests, connections.  What can't be read changes nothing.
+Only the main thread waits for signals (``sigtimedwait``); they are blocked in all other threads, so that none
+interrupts an operation half way.
+
+- TERM starts a drain.  For a while clients still connect, and what they send counts as accepted; so the node accepts
+  for another ``ACCEPTING_S`` seconds, with answers that close their connections, and closes idle connections at once.
+  Later requests are refused at once, since the process may end before their answer; all others are served to their end.
+- HUP reads the configuration again.  A new address of the discovery service is followed from then on; router, tables,
+  requests and connections stay.  A configuration that can't be read changes nothing.
 """
 
 from __future__ import annotations
@@ -45,35 +46,35 @@
 
 SECOND = 1_000_000_000
 STACK_BYTES = 256 * 1024
-MAX_BODY_BYTES = 262_144  # bytes, the protocol's bound
-STREAM_SILENCE_NS = 4 * SECOND + SECOND // 2  # a stream without an event for so long has broken
-CLIENT_STALL_NS = 10 * SECOND  # a client that takes nothing for so long has gone
-ACCEPTING_S = 0.55  # seconds after TERM in which clients still come (0.2 to 0.4 by the protocol); 0.7 are too many
-MAX_COUNTED_DEADLINE_S = 3.0  # seconds of the longest deadline that count, after TERM, until KILL may come
-KILL_AFTER_DEADLINE_S = 0.7  # seconds more
-KILL_MARGIN_S = 0.3  # seconds before that by which the node has ended
-LAST_RELEASES_S = 0.5  # seconds after the last answer in which releases may still be heard, however late that comes
+MAX_BODY_BYTES = 262_144  # the protocol's bound
+STREAM_SILENCE_NS = 4 * SECOND + SECOND // 2  # a stream without an event for longer counts as broken
+CLIENT_STALL_NS = 10 * SECOND  # a client that reads nothing for longer counts as gone
+ACCEPTING_S = 0.55  # clients still connect for 0.2 to 0.4 s after TERM (protocol); what comes after 0.7 s may be lost
+MAX_COUNTED_DEADLINE_S = 3.0  # the part of the longest deadline that counts towards the time from TERM to KILL
+KILL_AFTER_DEADLINE_S = 0.7  # KILL may follow so long after the counted deadline
+KILL_MARGIN_S = 0.3  # the node exits at least so long before KILL
+LAST_RELEASES_S = 0.5  # time for releases after the last answer, however late that answer comes
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
 
 
 def log(text: str) -> None:
-    """One line for the operators."""
+    """Write one line for operators to standard error; a failure to write is ignored."""
     with contextlib.suppress(OSError):
         sys.stderr.write(f"{text}\n")
         sys.stderr.flush()
 
 
 class EdgeNode:
-    """See the module."""
+    """One node: its router, its connections to clients, engines and discovery, and its background threads."""
 
     def __init__(self, config: Config, traced: bool = False) -> None:
         self.config, self._traced = config, traced
         self.clock = node_clock()
         budget = divide_budget(config.limits.sockets, config.limits.memory_mb)
-        self._told = simulator_adapter.Instance({**config.settings_pairs, "entropy": str(config.seed)})
+        self._router_instance = simulator_adapter.Instance({**config.settings_pairs, "entropy": str(config.seed)})
         record = self._recorder() if traced else None
         self.core = Core(
-            self._told.router,
+            self._router_instance.router,
             self.clock,
             log=log,
             probe=self._probe,
@@ -95,14 +96,14 @@
             budget.abandoned,
             log,
         )
-        self.probes = Probes(self.calls, self.clock, self._report, self.core.tell, log=log)
+        self.probes = Probes(self.calls, self.clock, self._parse_report, self.core.tell, log=log)
         self.engines = EdgeEngines(
             self.pool,
             self.releases,
             self.probes,
             self.clock,
             connect,
-            self._report,
+            self._parse_report,
             log if traced else None,
             self.records,
             self.core.closed_for,
@@ -112,11 +113,11 @@
         self.classes = {cls.name: n for n, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
         self.bounds = Bounds(STREAM_SILENCE_NS, CLIENT_STALL_NS, 64 << 10)
-        self.watch = DiscoveryWatch(config.discovery, lambda: self.engine_table.rev, self._document, log)
-        self._passed_over: frozenset[str] = frozenset()  # what the last list held that can't be used, and was said
-        self._last_call = 0  # monotonic ns from which on requests are refused; 0 for never
-        self._ids = RecentRequestIds()
-        self._ids_lock = threading.Lock()
+        self.watch = DiscoveryWatch(config.discovery, lambda: self.engine_table.rev, self._apply_list, log)
+        self._parse_reported_skipped: frozenset[str] = frozenset()  # unusable entries of the last list, already logged
+        self._refuse_after = 0  # monotonic ns from which on requests are refused; 0 for never
+        self._request_ids = RecentRequestIds()
+        self._request_ids_lock = threading.Lock()
         self.host = Host(
             listen(*config.listen, 1024),
             Limits(
@@ -140,47 +141,47 @@
 
         return recorder(log)
 
-    def _report(self, pairs: str) -> LoadReport | None:
+    def _parse_report(self, pairs: str) -> LoadReport | None:
         try:
-            return self._told.report({"health_info": pairs})
+            return self._router_instance.report({"health_info": pairs})
         except simulator_adapter.WireError:
             return None
 
     def _probe(self, server: str) -> None:
         self.engines.probe(server)
 
-    def _document(self, data: bytes, fresh: bool, known: bool = False) -> None:
-        """Take a list: addresses first, since the router may send to what it is told of at once.
+    def _apply_list(self, data: bytes, first_of_watch: bool, from_config: bool = False) -> None:
+        """Apply a server list: addresses first, since the router may send to a new engine at once.
 
-        Raises ServerListError for one that can't be read: what it told has to be asked for again, from the version
-        held."""
-        event = self.engine_table.apply(data, self.clock(), known, fresh)
+        Raises ServerListError for a list that can't be parsed: the watch then asks again for all changes since the
+        revision held."""
+        event = self.engine_table.apply(data, self.clock(), from_config, first_of_watch)
         if event is None:
             return
         for each in self.engine_table.skipped:
-            if each not in self._passed_over:
-                log(f"server list: passed over {each}")
-        self._passed_over = frozenset(self.engine_table.skipped)
+            if each not in self._parse_reported_skipped:
+                log(f"server list: skipped {each}")
+        self._parse_reported_skipped = frozenset(self.engine_table.skipped)
         self.calls.retain(set(self.engine_table.engines))
         self.engines.list_changed(dict(self.engine_table.engines))
         self.core.tell(event)
 
     def start(self) -> None:
-        """Take the list that came along, follow discovery, accept clients."""
+        """Apply the configuration's server list, follow discovery, accept clients."""
         self.core.start()
         self.releases.start()
         self.abandoned.start()
         self.probes.start()
         if self.config.initial_list:
             try:
-                self._document(self.config.initial_list, fresh=True, known=True)
+                self._apply_list(self.config.initial_list, first_of_watch=True, from_config=True)
             except ServerListError as error:
-                log(f"the list that the configuration brought is passed over: {error}")
+                log(f"server list of the configuration ignored: {error}")
         self.watch.start()
         self.host.start()
 
     def stop(self) -> None:
-        """End everything at once."""
+        """Stop all parts at once, without a drain."""
         self.watch.stop()
         self.host.stop()
         self.core.stop()
@@ -192,7 +193,7 @@
     # Requests.
 
     def handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
-        """Serve one request; whether the connection may be kept."""
+        """Serve one request; returns whether the connection may be kept open."""
         head = request.head
         sink = EdgeSink(connection, request)
         if head.path == "/up" and head.method in ("GET", "HEAD"):
@@ -201,71 +202,73 @@
             return sink.respond(200, metrics.exposition(self))
         if head.path != requests.CHAT_PATH or head.method != "POST":
             return sink.respond(404, f"allowed: POST {requests.CHAT_PATH}, GET /up, GET /metrics")
-        if self._last_call and request.arrived > self._last_call:
-            return sink.respond(503, "this node is leaving: try again elsewhere")
+        if self._refuse_after and request.arrived > self._refuse_after:
+            return sink.respond(503, "this node is shutting down: try again elsewhere")
         try:
-            waited = time.monotonic_ns() - request.arrived
-            ask = requests.parse_request(head, request.body, self.classes, waited, self.clock(), self.tenants)
+            waited_ns = time.monotonic_ns() - request.arrived
+            ask = requests.parse_request(head, request.body, self.classes, waited_ns, self.clock(), self.tenants)
         except requests.BadRequest as error:
             return sink.respond(error.status, str(error))
-        with self._ids_lock:
-            new = self._ids.add(ask.request, self.clock())
-        if not new:
-            return sink.respond(409, f"request {ask.request} has come before: every request needs an id of its own")
+        with self._request_ids_lock:
+            is_new = self._request_ids.add(ask.request, self.clock())
+        if not is_new:
+            return sink.respond(409, f"request {ask.request}: this id was used before; each request needs its own")
         cls = self.config.settings.classes[ask.class_index]
         self.records.open(ask.request, f"{cls.name} ({cls.effect.value})", cls.effect, ask.body.deadline)
         try:
-            life = Drive(self.core, self.engines, self.bounds, ask, sink, waker, self.records).run()
+            lifecycle = Drive(self.core, self.engines, self.bounds, ask, sink, waker, self.records).run()
         finally:
             self.records.close(ask.request)
-        return sink.keep and not life.gone
+        return sink.keep and not lifecycle.gone
 
     # Signals.
 
     def reload(self, path: Path) -> None:
-        """Take what may change in a configuration: where discovery is."""
+        """Read the configuration file again and follow its discovery service, the one setting that may change."""
         try:
             config = parse(path.read_bytes())
         except (OSError, ConfigError) as error:
             log(f"configuration refused, nothing changed: {error}")
             return
-        if other := deployment_mismatch(self.config, config):
-            log(f"configuration refused, nothing changed: {path}: {other}")
+        if mismatch := deployment_mismatch(self.config, config):
+            log(f"configuration refused, nothing changed: {path}: {mismatch}")
             return
         log(f"configuration read again: discovery at {config.discovery[0]}:{config.discovery[1]}")
         self.watch.change_address(config.discovery)
 
     def maintain(self) -> None:
-        """What is looked after about once a second."""
+        """Prune idle connections and check request records; called about once a second."""
         self.pool.prune()
         self.records.check()
         if self._traced:
             from stonetrack.edge.trace import server_lines
 
             lines: list[str] = []
-            open_at = self.engines.open_attempts()
+            open_attempts = self.engines.open_attempts()
             self.core.still(
-                lambda: lines.extend(server_lines(self._told.router, open_at, self.engines.idle_connections))
+                lambda: lines.extend(
+                    server_lines(self._router_instance.router, open_attempts, self.engines.idle_connections)
+                )
             )
             for line in lines:
                 log(f"trace belief {line}")
 
-    def _time_to_end(self) -> float:
-        """Seconds after TERM in which the node is not killed yet."""
+    def _drain_time_s(self) -> float:
+        """Seconds after TERM within which the node has to exit, before KILL may come."""
         longest = max(cls.deadline for cls in self.config.settings.classes) / SECOND
         return min(longest, MAX_COUNTED_DEADLINE_S) + KILL_AFTER_DEADLINE_S - KILL_MARGIN_S
 
     def drain(self) -> None:
-        """Serve what was taken to its end; signals that come meanwhile change nothing."""
-        told = time.monotonic()
-        self._last_call = time.monotonic_ns() + int(ACCEPTING_S * SECOND)
+        """Stop accepting, serve all accepted requests to their end; signals that arrive meanwhile have no effect."""
+        started = time.monotonic()
+        self._refuse_after = time.monotonic_ns() + int(ACCEPTING_S * SECOND)
         self.host.leave()
         time.sleep(ACCEPTING_S)
         self.host.drain(sweep=True)
         while self.core.open_requests:
             time.sleep(0.02)
-        # What still comes is read and answered meanwhile: a sealed host would leave it to the end of the process.
-        until = max(told + self._time_to_end(), time.monotonic() + LAST_RELEASES_S)
+        # The host is sealed last: meanwhile it reads and refuses late requests, which would otherwise get no answer.
+        until = max(started + self._drain_time_s(), time.monotonic() + LAST_RELEASES_S)
         while (self.releases.open or len(self.abandoned)) and time.monotonic() < until:
             time.sleep(0.02)
         while self.core.open_requests or not self.host.seal():
@@ -274,14 +277,14 @@
 
 
 def run(environ: Mapping[str, str]) -> int:
-    """Serve until TERM; the exit code."""
+    """Serve until TERM; returns the exit code."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     threading.stack_size(STACK_BYTES)
-    where = environ.get("EDGE_CONFIG", "")
-    if not where:
+    config_path = environ.get("EDGE_CONFIG", "")
+    if not config_path:
         log("EDGE_CONFIG is not set; it names the node's configuration, a JSON file")
         return 2
-    path = Path(where)
+    path = Path(config_path)
     try:
         node = EdgeNode(parse(path.read_bytes()), environ.get("EDGE_TRACE") == "1")
     except ConfigError as error:
@@ -293,14 +296,14 @@
     node.start()
     log(f"serving as {node.config.name} on {node.config.listen[0]}:{node.config.listen[1]}")
     while True:
-        got = signal.sigtimedwait(SIGNALS, 1.0)
-        # A process that was stopped beyond the time-out gets a record that nobody filled in (CPython 3.11: EINTR).
-        if got is None or got.si_signo not in SIGNALS:
+        info = signal.sigtimedwait(SIGNALS, 1.0)
+        # After a process was stopped for longer than the timeout, CPython 3.11 returns an uninitialized record (EINTR).
+        if info is None or info.si_signo not in SIGNALS:
             node.maintain()
-        elif got.si_signo == signal.SIGHUP:
+        elif info.si_signo == signal.SIGHUP:
             node.reload(path)
         else:
-            log(f"{signal.Signals(got.si_signo).name} from process {got.si_pid}: serving what was taken to its end")
+            log(f"{signal.Signals(info.si_signo).name} from process {info.si_pid}: draining, serving accepted requests")
             break
     node.drain()
     os._exit(0)
--- a/stonetrack/edge/sink.py
+++ b/stonetrack/edge/sink.py
@@ -1,6 +1,6 @@
-"""Answers to the platform's clients (``ports.Sink``): events passed on as they come, refusals, failures.
+"""Answers to the platform's clients (implements ``ports.Sink``): forwarded events, refusals, failures.
 
-A stream that breaks ends the connection without the last chunk.  Nothing follows a final answer.
+A stream that breaks off ends the connection without the last chunk.  Nothing follows a final answer.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 
 def retry_after_headers(nanoseconds: int) -> tuple[tuple[str, str], ...]:
-    """The advice in seconds, decimal where it is under way of one; none for none."""
+    """The Retry-After header in seconds, with decimals as needed; no header for 0."""
     return (("Retry-After", f"{nanoseconds / SECOND:g}"),) if nanoseconds > 0 else ()
 
 
 def plain_response(status: int, text: str, headers: tuple[tuple[str, str], ...] = (), keep: bool = False) -> bytes:
-    """One whole answer in plain text; the connection closes after it unless kept."""
+    """A complete answer in plain text; announces that the connection closes unless ``keep``."""
     return plain(status, f"{text}\n".encode(), headers, "text/plain; charset=utf-8", keep)
 
 
 class EdgeSink(ConnectionSink):
-    """One request's answer on its client's connection."""
+    """The answer to one request on its client's connection."""
 
     __slots__ = ("_head", "final_kind", "keep", "request")
 
@@ -37,14 +37,14 @@
         self._head = b""
 
     def begin(self) -> None:
-        """The answer begins; its head leaves with the first event."""
+        """Begin a streamed answer; its head is sent with the first event."""
         self.keep = self.keep and not self.connection.last and self.request.head.chunks
         fields = [("Content-Type", "text/event-stream"), *(() if self.keep else (("Connection", "close"),))]
         head = writer.streamed if self.request.head.chunks else writer.response_until_close
         self._head = head(200, fields)
 
     def piece(self, piece: ports.Piece) -> None:
-        """Pass events on."""
+        """Forward events unchanged."""
         assert isinstance(piece, ports.Passed)
         data = writer.chunk(piece.data) if self.request.head.chunks else piece.data
         if self._head:
@@ -52,7 +52,7 @@
         self.connection.write(data)
 
     def finish(self, final: ports.Final) -> None:
-        """The one final answer."""
+        """Send the final answer.  Raises RuntimeError for a second one."""
         if self.final_kind:
             raise RuntimeError(f"a second final answer ({type(final).__name__} after {self.final_kind})")
         self.final_kind = type(final).__name__.lower()
@@ -70,7 +70,7 @@
                 self.respond(status, "refused by an engine")
 
     def respond(self, status: int, text: str, headers: tuple[tuple[str, str], ...] = ()) -> bool:
-        """One whole answer; whether the connection may be kept."""
+        """Send a complete answer; returns whether the connection may be kept open."""
         self.keep = self.keep and not self.connection.last
         self.connection.write(plain_response(status, text, headers, self.keep))
         return self.keep
--- a/stonetrack/edge/trace.py
+++ b/stonetrack/edge/trace.py
@@ -1,8 +1,8 @@
-"""What the node was told and decided, and what it believes, as lines of its log: on with ``EDGE_TRACE=1``.
+"""Trace lines in the node's log: the router's events, actions and view of each server; on with ``EDGE_TRACE=1``.
 
-Each call of the router is a line, its actions behind it.  About once a second the router's counts of each server stand
-beside the sockets' (attempts open there, kept connections).  Off, nothing of this is loaded: a line for each event
-costs more than the routing does.
+Each call of the router is one line: the event, then its actions.  About once a second, one line per server compares the
+router's counts with those of the sockets (open attempts, idle connections).  While tracing is off this module is not
+loaded: a line per event costs more than the routing itself.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 
 def recorder(log: Callable[[str], None]) -> Callable[[int, api.Event, list[api.Action]], None]:
-    """A ``record`` for the core."""
+    """The core's ``record`` callback, which writes one line per router call."""
 
     def record(now: int, event: api.Event, actions: list[api.Action]) -> None:
         if isinstance(event, api.TimerFired) and not actions:
             return
-        told = event if not isinstance(event, api.ServerList) else f"ServerList {event.kind.value} {event.version}"
-        done = [a for a in actions if not isinstance(a, api.SetTimer)]
-        log(f"trace {now // MS} {told} -> {done}")
+        shown = event if not isinstance(event, api.ServerList) else f"ServerList {event.kind.value} {event.version}"
+        decided = [a for a in actions if not isinstance(a, api.SetTimer)]
+        log(f"trace {now // MS} {shown} -> {decided}")
 
     return record
 
 
-def server_lines(router: Router, open_at: Mapping[str, int], kept_at: Callable[[str], int]) -> list[str]:
-    """One line for each server with anything out, waiting, paused or cold: counts as the router books them, then
-    attempts open and connections kept as the sockets have them."""
+def server_lines(router: Router, open_attempts: Mapping[str, int], idle_connections: Callable[[str], int]) -> list[str]:
+    """One line for each server that has work, is ejected or in slow start: first the router's counts, then the number
+    of open attempts and idle connections on the sockets."""
     lines = []
     for s in router.servers.values():
         paused = [key for key, pause in s.paused.items() if pause.until > router.now]
@@ -40,6 +40,6 @@
             lines.append(
                 f"{s.name} {s.role.value} {s.state.value} waiting {len(s.waiting)} streams {s.streams} "
                 f"states {s.states} work {s.work_out:.0f} paused {paused} cold {cold} reported {reported}; "
-                f"sockets: open {open_at.get(s.name, 0)} kept {kept_at(s.name)}"
+                f"sockets: open {open_attempts.get(s.name, 0)} kept {idle_connections(s.name)}"
             )
     return lines
--- a/stonetrack/edge/watch.py
+++ b/stonetrack/edge/watch.py
@@ -1,13 +1,14 @@
-"""Follows discovery on a thread of its own: one answer in chunks, JSON objects in it (:mod:`.documents`).
-
-A watch that shows nothing for ``SILENCE_TIMEOUT_S`` seconds, not even an empty line, is broken, however open it looks;
-it is begun
-anew after the version held, after a pause that doubles and is drawn around that.  A change counts as told 6 s after the
-agent had it, whatever call failed meanwhile, so what is left of those 6 s has to hold a failed call or two: two empty
-lines may be missing, not more, and a new watch that is not answered at once, as the agent answers, is given up.  Calls
-to the agent cost nothing (it is on the node's own machine), so it is asked again soon.  While discovery is down what is
-known stays in force.  :meth:`DiscoveryWatch.change_address` follows another address: at once, asking for
-what was missed.
+"""Watches the discovery service on a thread of its own: one chunked answer that carries JSON objects
+(:mod:`.documents`).
+
+A watch that delivers nothing for ``SILENCE_TIMEOUT_S`` seconds, not even an empty line, counts as broken although its
+connection is open.  It is restarted from the revision held, after a pause that doubles up to a bound, with jitter.  The
+protocol expects a change to be propagated 6 s after the local agent received it, whatever calls failed meanwhile, so
+within those 6 s there has to be time for one or two failed calls: at most two empty lines may be missing, and a new
+watch that is not answered at once is abandoned, since a working agent answers at once.  Calls to the agent are cheap
+(it runs on the node's own machine), so the pauses are short.  While discovery is down the held list stays in force.
+:meth:`DiscoveryWatch.change_address` switches to another address at once and asks it for the changes since the revision
+held.
 """
 
 from __future__ import annotations
@@ -25,17 +26,18 @@
 from stonetrack.wire.errors import ProtocolError
 
 PATH = "/discovery/hosts"
-SILENCE_TIMEOUT_S = 4.2  # seconds; an empty line comes every 2
-FIRST_BYTE_TIMEOUT_S = 0.5  # seconds for the first byte of a new watch; the agent answers at once
-CONNECT_TIMEOUT_S = 0.5  # seconds
+SILENCE_TIMEOUT_S = 4.2  # an empty line comes every 2 s
+FIRST_BYTE_TIMEOUT_S = 0.5  # of a new watch; a working agent answers at once
+CONNECT_TIMEOUT_S = 0.5
 FIRST_PAUSE_S, MAX_PAUSE_S = 0.05, 0.25
-_LIMITS = http1.Limits(head=16_384, headers=64, body=1 << 40)  # a watch lasts for as long as its connection
+_LIMITS = http1.Limits(head=16_384, headers=64, body=1 << 40)  # a watch's body is as long as its connection lasts
 
 
 class DiscoveryWatch:
-    """``on_document`` gets each document and whether it is the first of a connection; ``rev`` tells the version held.
+    """Follows the discovery service and restarts broken watches.
 
-    Owed: ``Obligation.TOLD_CHANGE``."""
+    ``on_document`` gets each document and whether it is the first of a watch; ``rev`` returns the revision held.
+    Fulfils ``Obligation.TOLD_CHANGE``."""
 
     def __init__(
         self,
@@ -47,10 +49,10 @@
         self._address, self._rev, self._on_document, self._log = address, rev, on_document, log
         self._sock: socket.socket | None = None
         self._lock = threading.Lock()
-        self._nudge = threading.Event()
+        self._interrupt = threading.Event()
         self._stopping = False
-        self._said = ""
-        self._draw = random.Random()
+        self._last_error = ""
+        self._random = random.Random()
         self._thread = lasting("watch", self._run, log)
 
     def start(self) -> None:
@@ -58,21 +60,21 @@
         self._thread.start()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Follow another address from now on."""
+        """Switch to another address at once."""
         with self._lock:
             if address == self._address:
                 return
             self._address = address
-            self._cut()
+            self._break_off()
 
     def stop(self) -> None:
         """Stop following."""
         with self._lock:
             self._stopping = True
-            self._cut()
+            self._break_off()
 
-    def _cut(self) -> None:
-        self._nudge.set()
+    def _break_off(self) -> None:
+        self._interrupt.set()
         if self._sock is not None:
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
@@ -80,23 +82,23 @@
     def _run(self) -> None:
         pause = FIRST_PAUSE_S
         while not self._stopping:
-            self._nudge.clear()
+            self._interrupt.clear()
             try:
                 self._follow()
                 pause = FIRST_PAUSE_S
             except (OSError, ProtocolError, DocumentError) as error:
-                if str(error) != self._said:
-                    self._said = str(error)
+                if str(error) != self._last_error:
+                    self._last_error = str(error)
                     self._log(f"discovery at {self._address[0]}:{self._address[1]}: {error}")
-            except Exception as error:  # a list must never end the thread that follows it
+            except Exception as error:  # no list may end the thread that watches discovery
                 self._log(f"discovery: {type(error).__name__}: {error}")
-            # All nodes lose their watch at one moment; they come back at moments of their own.
-            if self._nudge.wait(pause * self._draw.uniform(0.5, 1.5)):
+            # All nodes lose their watch at the same moment; jitter spreads their reconnections.
+            if self._interrupt.wait(pause * self._random.uniform(0.5, 1.5)):
                 pause = FIRST_PAUSE_S
             pause = min(pause * 2, MAX_PAUSE_S)
 
     def _follow(self) -> None:
-        """One watch, to its end."""
+        """Run one watch to its end.  Raises OSError, ProtocolError, DocumentError."""
         with self._lock:
             host, port = self._address
         sock = connect(host, port, CONNECT_TIMEOUT_S)
@@ -111,7 +113,7 @@
             sock.sendall(writer.request("GET", f"{PATH}?watch=1{after}", [("Host", f"{host}:{port}")]))
             self._read(sock)
         except TimeoutError:
-            raise ConnectionError(f"nothing for {sock.gettimeout():g} s") from None
+            raise ConnectionError(f"nothing received for {sock.gettimeout():g} s") from None
         finally:
             with self._lock:
                 self._sock = None
@@ -124,12 +126,12 @@
             sock.settimeout(SILENCE_TIMEOUT_S)
             for event in reader.feed(data):
                 if isinstance(event, http1.ResponseHead) and event.status != 200:
-                    raise ConnectionError(f"it answered {event.status}")
+                    raise ConnectionError(f"the agent answered {event.status}")
                 if isinstance(event, http1.End):
                     return
                 if not isinstance(event, http1.Data):
                     continue
-                for each in documents.feed(event.data):
-                    self._on_document(each, first)
-                    first, self._said = False, ""
-        raise ConnectionError("the watch was closed")
+                for document in documents.feed(event.data):
+                    self._on_document(document, first)
+                    first, self._last_error = False, ""
+        raise ConnectionError("the agent closed the watch")
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -53,7 +53,7 @@
 @pytest.fixture
 def book(script: Script) -> Iterator[AbandonedPrefills]:
     made = AbandonedPrefills(
-        time.monotonic_ns, WITHIN, script.release, script.ask, lambda request: script.needed, 2, print, most=4
+        time.monotonic_ns, WITHIN, script.release, script.ask, lambda request: script.needed, 2, print, max_attempts=4
     )
     made.start()
     yield made
@@ -175,7 +175,7 @@
         return Heard.DONE
 
     script.release = stuck  # type: ignore[method-assign]
-    book._release = stuck
+    book._release_any = stuck
     for n in range(4):
         book.add(f"q{n}", engine(f"r{n}"), None)
     assert entered.acquire(timeout=2.0)
