--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""The platform's protocol without sockets: configuration, heads, answers, lists, shares."""
+"""The platform's protocol without sockets: configuration, requests, answers, server lists, descriptor budget."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from stonetrack.wire import http1
 
 LIMITS = http1.Limits(head=16_384, headers=64, body=1 << 20)
-READER, WRITER = api.Role.READER, api.Role.WRITER
+PREFILL, DECODE = api.Role.READER, api.Role.WRITER
 SETTINGS: dict[str, Any] = {
     "me": 1,
     "balancers": 2,
@@ -57,19 +57,21 @@
         "settings": SETTINGS, **more}).encode()  # fmt: skip
 
 
-def test_the_settings_are_read_by_the_simulators_own_reader() -> None:
-    told = config.parse(document())
-    assert [c.name for c in told.settings.classes] == ["chat", "plan"] and told.settings.classes[1].worth == 3.0
-    assert told.settings.classes[0].aim_per_1000_tokens == 40_000_000
-    assert [k.role for k in told.settings.kinds] == [READER, WRITER] and told.settings.kinds[1].memory_tokens == 144_079
-    assert told.settings.may_hold_place and told.settings.report_source is api.ReportSource.ANSWERS
-    assert (told.settings.router, told.settings.routers, told.settings.zone) == (1, 2, 1)
-    assert told.engine_idle_ns == 30_000_000_000 and told.zones == ("a", "b") and told.seed == 0x8C1F30D27A5BE964
-    assert told.settings_pairs["family_info.report_x0"] == "share_of_memory_that_is_held"
-    assert json.loads(told.initial_list) == {"rev": 4, "all": True, "targets": []}
+def test_settings_are_parsed_by_the_simulator_adapter() -> None:
+    parsed = config.parse(document())
+    assert [c.name for c in parsed.settings.classes] == ["chat", "plan"] and parsed.settings.classes[1].worth == 3.0
+    assert parsed.settings.classes[0].aim_per_1000_tokens == 40_000_000
+    assert [k.role for k in parsed.settings.kinds] == [PREFILL, DECODE] and parsed.settings.kinds[
+        1
+    ].memory_tokens == 144_079
+    assert parsed.settings.may_hold_place and parsed.settings.report_source is api.ReportSource.ANSWERS
+    assert (parsed.settings.router, parsed.settings.routers, parsed.settings.zone) == (1, 2, 1)
+    assert parsed.engine_idle_ns == 30_000_000_000 and parsed.zones == ("a", "b") and parsed.seed == 0x8C1F30D27A5BE964
+    assert parsed.settings_pairs["family_info.report_x0"] == "share_of_memory_that_is_held"
+    assert json.loads(parsed.initial_list) == {"rev": 4, "all": True, "targets": []}
 
 
-@pytest.mark.parametrize(("more", "said"), [
+@pytest.mark.parametrize(("more", "message"), [
     ({"listen": "nowhere"}, "$.listen"), ({"discovery": "h:99999"}, "$.discovery"), ({"seed": "xyz"}, "$.seed"),
     ({"limits": {"sockets": 3}}, "$.limits.sockets"), ({"limits": {"sockets": "many"}}, "$.limits.sockets"),
     ({"limits": {"memory_mb": -5}}, "$.limits.memory_mb"), ({"limits": {"cores": 0}}, "$.limits.cores"),
@@ -83,29 +85,29 @@
      "$.settings.family_info.kv_tokens[1]"),
     ({"settings": {}}, "$.settings"), ({"settings": None}, "$.settings"),
 ])  # fmt: skip
-def test_a_bad_configuration_names_its_path(more: dict[str, Any], said: str) -> None:
-    with pytest.raises(config.ConfigError, match="^" + re.escape(said)):
+def test_an_invalid_configuration_names_the_path(more: dict[str, Any], message: str) -> None:
+    with pytest.raises(config.ConfigError, match="^" + re.escape(message)):
         config.parse(document(**more))
 
 
-GOOD = {"X-Correlation-Id": "9b1f03aa5c7e2d41", "X-Service-Class": "plan", "X-Session-Key": "7f",
+VALID_HEADERS = {"X-Correlation-Id": "9b1f03aa5c7e2d41", "X-Service-Class": "plan", "X-Session-Key": "7f",
         "X-Time-Left": "4800m", "X-Facts": "prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800"}  # fmt: skip
 
 
 def head(**changes: str | None) -> http1.RequestHead:
-    fields = {**GOOD, **{name.replace("_", "-"): value for name, value in changes.items()}}
+    fields = {**VALID_HEADERS, **{name.replace("_", "-"): value for name, value in changes.items()}}
     items = [(name.lower(), value) for name, value in fields.items() if value is not None]
     return http1.RequestHead("POST", requests.CHAT_PATH, http1.Headers(items), True, 3)
 
 
-def test_a_head_becomes_an_ask() -> None:
-    made = requests.parse_request(head(X_Repeat="1"), b"{}", {"chat": 0, "plan": 1}, 100_000_000, 7_000_000_000, {})
-    assert (made.request, made.class_index, made.session) == ("9b1f03aa5c7e2d41", 1, "7f")
-    assert made.time_left == 4_700_000_000 - requests.ANSWER_MARGIN_NS and made.body.deadline == 11_700_000_000
-    assert (made.prompt_tokens, made.shared_beginning, made.shared_tokens) == (5120, "5c0f", 2048)
-    assert made.max_answer_tokens == 800 and made.repeated
-    plain = requests.parse_request(head(X_Facts=None), b"x" * 400, {"plan": 1}, 0, 0, {})
-    assert plain.prompt_tokens == 100 and plain.shared_beginning is None and not plain.repeated
+def test_a_request_head_is_parsed() -> None:
+    parsed = requests.parse_request(head(X_Repeat="1"), b"{}", {"chat": 0, "plan": 1}, 100_000_000, 7_000_000_000, {})
+    assert (parsed.request, parsed.class_index, parsed.session) == ("9b1f03aa5c7e2d41", 1, "7f")
+    assert parsed.time_left == 4_700_000_000 - requests.ANSWER_MARGIN_NS and parsed.body.deadline == 11_700_000_000
+    assert (parsed.prompt_tokens, parsed.shared_beginning, parsed.shared_tokens) == (5120, "5c0f", 2048)
+    assert parsed.max_answer_tokens == 800 and parsed.repeated
+    without_facts = requests.parse_request(head(X_Facts=None), b"x" * 400, {"plan": 1}, 0, 0, {})
+    assert without_facts.prompt_tokens == 100 and without_facts.shared_beginning is None and not without_facts.repeated
     assert requests.parse_time_left("1500u") == 1_500_000
 
 
@@ -115,16 +117,16 @@
     {"X_Time_Left": "0m"}, {"X_Time_Left": "5"}, {"X_Time_Left": "nanm"}, {"X_Facts": "prompt_len"},
     {"X_Facts": "prompt_len=-1"}, {"X_Facts": "prompt_len=1,prompt_len=2"},
 ])  # fmt: skip
-def test_a_bad_head_is_refused(changes: dict[str, str | None]) -> None:
+def test_an_invalid_head_is_refused(changes: dict[str, str | None]) -> None:
     with pytest.raises(requests.BadRequest):
         requests.parse_request(head(**changes), b"{}", {"plan": 0}, 0, 0, {})
 
 
-def test_a_header_that_stands_twice_is_refused() -> None:
-    twice = http1.Headers([*head().headers, ("x-correlation-id", "another")])
+def test_a_duplicate_header_is_refused() -> None:
+    duplicate = http1.Headers([*head().headers, ("x-correlation-id", "another")])
     with pytest.raises(requests.BadRequest, match="twice|2 times"):
         requests.parse_request(
-            http1.RequestHead("POST", requests.CHAT_PATH, twice, True, 2), b"{}", {"plan": 0}, 0, 0, {}
+            http1.RequestHead("POST", requests.CHAT_PATH, duplicate, True, 2), b"{}", {"plan": 0}, 0, 0, {}
         )
 
 
@@ -146,74 +148,74 @@
     return api.LoadReport(in_flight=float(values["inflight"]))
 
 
-def fed(data: bytes, step: int, role: api.Role = WRITER, close: bool = False) -> tuple[list[Any], exchange.Exchange]:
-    made = exchange.Exchange(role, LIMITS, report)
+def feed(data: bytes, step: int, role: api.Role = DECODE, close: bool = False) -> tuple[list[Any], exchange.Exchange]:
+    answer = exchange.Exchange(role, LIMITS, report)
     events: list[Any] = []
     for at in range(0, len(data), step):
-        events += made.feed(data[at : at + step])
-    return events + (made.eof() if close else []), made
+        events += answer.feed(data[at : at + step])
+    return events + (answer.eof() if close else []), answer
 
 
 @given(st.integers(1, len(STREAM)))
-def test_a_stream_passes_unchanged_in_pieces_of_any_size(step: int) -> None:
-    events, made = fed(STREAM, step)
+def test_a_stream_is_forwarded_unchanged_in_chunks_of_any_size(step: int) -> None:
+    events, answer = feed(STREAM, step)
     assert isinstance(events[0], Began) and isinstance(events[-1], Over)
     assert b"".join(e.data for e in events if isinstance(e, Passed)) == b"".join(EVENTS)
     assert events[-1].outcome is api.Outcome.SERVED and events[-1].kept_tokens == 4096
     assert events[-1].report == api.LoadReport(in_flight=7.0)
-    assert made.reusable and made.settled
-
-
-@pytest.mark.parametrize(("role", "data", "outcome", "missing"), [
-    (READER, reply(202, b'{"cached_tokens":4096}'), api.Outcome.READ, False),
-    (READER, reply(202, b"noise"), api.Outcome.READ, False),
-    (WRITER, reply(410, extra=b"X-Unprocessed: 1\r\n"), api.Outcome.FULL, True),
-    (WRITER, reply(503, extra=b"X-Unprocessed: 1\r\n"), api.Outcome.FULL, False),
-    (READER, reply(504, extra=b"X-Unprocessed: 1\r\n"), api.Outcome.FULL, False),
-    (WRITER, reply(503), api.Outcome.ERROR, False), (WRITER, reply(410), api.Outcome.ERROR, False),
-    (WRITER, reply(500), api.Outcome.ERROR, False), (WRITER, reply(202), api.Outcome.ERROR, False),
-    (WRITER, reply(404), api.Outcome.SERVED, False), (READER, reply(400), api.Outcome.SERVED, False),
-    (WRITER, reply(200), api.Outcome.ERROR, False),
-    (WRITER, b"\x00noise\r\n\r\n", api.Outcome.RESET, False), (WRITER, STREAM[:90], api.Outcome.RESET, False),
-    (WRITER, b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000, api.Outcome.RESET, False),
-    (WRITER, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nC0000000\r\n", api.Outcome.RESET, False),
+    assert answer.reusable and answer.settled
+
+
+@pytest.mark.parametrize(("role", "data", "outcome", "state_missing"), [
+    (PREFILL, reply(202, b'{"cached_tokens":4096}'), api.Outcome.READ, False),
+    (PREFILL, reply(202, b"noise"), api.Outcome.READ, False),
+    (DECODE, reply(410, extra=b"X-Unprocessed: 1\r\n"), api.Outcome.FULL, True),
+    (DECODE, reply(503, extra=b"X-Unprocessed: 1\r\n"), api.Outcome.FULL, False),
+    (PREFILL, reply(504, extra=b"X-Unprocessed: 1\r\n"), api.Outcome.FULL, False),
+    (DECODE, reply(503), api.Outcome.ERROR, False), (DECODE, reply(410), api.Outcome.ERROR, False),
+    (DECODE, reply(500), api.Outcome.ERROR, False), (DECODE, reply(202), api.Outcome.ERROR, False),
+    (DECODE, reply(404), api.Outcome.SERVED, False), (PREFILL, reply(400), api.Outcome.SERVED, False),
+    (DECODE, reply(200), api.Outcome.ERROR, False),
+    (DECODE, b"\x00noise\r\n\r\n", api.Outcome.RESET, False), (DECODE, STREAM[:90], api.Outcome.RESET, False),
+    (DECODE, b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000, api.Outcome.RESET, False),
+    (DECODE, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nC0000000\r\n", api.Outcome.RESET, False),
 ])  # fmt: skip
 @pytest.mark.parametrize("step", [1, 7, 1 << 20])
-def test_outcomes(role: api.Role, data: bytes, outcome: api.Outcome, missing: bool, step: int) -> None:
-    events, _ = fed(data, step, role, close=True)
+def test_outcomes(role: api.Role, data: bytes, outcome: api.Outcome, state_missing: bool, step: int) -> None:
+    events, _ = feed(data, step, role, close=True)
     assert len(events) == 1 and isinstance(events[0], Over)
-    assert events[0].outcome is outcome and events[0].state_missing is missing
+    assert events[0].outcome is outcome and events[0].state_missing is state_missing
     assert (events[0].rejection is not None) is (outcome is api.Outcome.SERVED)
     assert events[0].kept_tokens == (4096 if b"4096" in data else 0)
 
 
 @pytest.mark.parametrize("step", [1, 50, 1 << 20])
-def test_a_stream_spoilt_before_its_first_event_never_began_and_later_has_broken(step: int) -> None:
+def test_a_stream_corrupted_before_its_first_event_never_starts_and_later_is_reset(step: int) -> None:
     opening = STREAM.index(b"data:")
-    spoilt, _ = fed(STREAM[:opening] + STREAM[opening : opening + 30] + b"\xff" * 200, step)
-    assert not any(isinstance(e, Began) for e in spoilt[:-1]) or spoilt[-1].outcome is api.Outcome.RESET
+    corrupted, _ = feed(STREAM[:opening] + STREAM[opening : opening + 30] + b"\xff" * 200, step)
+    assert not any(isinstance(e, Began) for e in corrupted[:-1]) or corrupted[-1].outcome is api.Outcome.RESET
     second = STREAM.index(b"\r\n", STREAM.index(EVENTS[0]) + len(EVENTS[0])) + 2
-    later, made = fed(STREAM[:second] + b"zz\r\nnoise", step)
-    assert later[-1].outcome is api.Outcome.RESET and not made.reusable
+    later, answer = feed(STREAM[:second] + b"zz\r\nnoise", step)
+    assert later[-1].outcome is api.Outcome.RESET and not answer.reusable
 
 
 @pytest.mark.parametrize("step", [1, 1 << 20])
-def test_what_comes_ahead_is_passed_over_and_what_comes_behind_harms_the_connection_only(step: int) -> None:
-    ahead = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" * 3
-    events, made = fed(ahead + STREAM + reply(200, b"again"), step)
+def test_informational_answers_are_skipped_and_a_second_answer_invalidates_the_connection_only(step: int) -> None:
+    informational = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" * 3
+    events, answer = feed(informational + STREAM + reply(200, b"again"), step)
     assert events[-1].outcome is api.Outcome.SERVED
-    assert not (made.reusable and made.settled)
-    endless, _ = fed(b"HTTP/1.1 100 Continue\r\n\r\n" * 50, step)
+    assert not (answer.reusable and answer.settled)
+    endless, _ = feed(b"HTTP/1.1 100 Continue\r\n\r\n" * 50, step)
     assert endless[-1].outcome is api.Outcome.RESET
 
 
 @pytest.mark.parametrize("text", ["", "JSON {}", "TEXT inflight", "TEXT inflight=nan", "TEXT inflight=-1", "TEXT a b=1",
                                   "TEXT inflight=1e999999", "TEXT ,"])  # fmt: skip
-def test_a_load_report_that_cannot_be_read_is_none(text: str) -> None:
+def test_a_load_report_that_cannot_be_parsed_is_empty(text: str) -> None:
     assert exchange.load_report_pairs(text) == ""
 
 
-def test_a_load_report_in_the_simulators_words() -> None:
+def test_a_load_report_is_converted_to_the_simulators_form() -> None:
     assert exchange.load_report_pairs("TEXT inflight=7, queue=2, x0=0.61") == "inflight:7,queue:2,x0:0.61"
 
 
@@ -226,43 +228,43 @@
     return json.dumps({"rev": rev, "all": whole, "targets": targets}).encode()
 
 
-NOW = 1_700_000_100 * 10**9  # on the node's clock
+NOW = 1_700_000_100 * 10**9  # on the node's clock, ns
 
 
-def held() -> engine_table.EngineTable:
-    return engine_table.EngineTable(("prefill", "decode"), ("a", "b"), (READER, WRITER))
+def empty_table() -> engine_table.EngineTable:
+    return engine_table.EngineTable(("prefill", "decode"), ("a", "b"), (PREFILL, DECODE))
 
 
-def test_lists_and_changes_by_version() -> None:
-    made = held()
-    first = made.apply(
+def test_full_lists_and_changes_apply_by_revision() -> None:
+    table = empty_table()
+    first = table.apply(
         listing(4, target("s1"), target("s2", model="decode", az="b"), whole=True), NOW, from_config=True
     )
     assert first is not None and first.kind is api.ListKind.SAVED and first.version == 4
     assert [(e.zone, e.kind, e.cell) for e in first.entries] == [(0, 0, 3), (1, 1, 3)]
-    change = made.apply(listing(6, target("s1", state="DRAINING", boot_ms=1_700_000_000_000)), NOW)
+    change = table.apply(listing(6, target("s1", state="DRAINING", boot_ms=1_700_000_000_000)), NOW)
     assert change is not None and change.kind is api.ListKind.CHANGES
     assert change.entries[0].state is api.ServerState.DRAINING and change.entries[0].started == 1_700_000_000 * 10**9
-    assert not made.engines["s1"].up
-    assert made.apply(listing(5, target("s1")), NOW) is None and not made.engines["s1"].up  # older: passed over
-    gone = made.apply(listing(7, {"uid": "s1", "state": "DELETED"}), NOW)
-    assert gone is not None and gone.entries[0].state is api.ServerState.REMOVED and list(made.engines) == ["s2"]
-    whole = made.apply(listing(3, target("s9"), whole=True), NOW, first_of_watch=True)
-    assert whole is not None and whole.kind is api.ListKind.FULL and list(made.engines) == ["s9"] and made.rev == 3
+    assert not table.engines["s1"].up
+    assert table.apply(listing(5, target("s1")), NOW) is None and not table.engines["s1"].up  # older: ignored
+    gone = table.apply(listing(7, {"uid": "s1", "state": "DELETED"}), NOW)
+    assert gone is not None and gone.entries[0].state is api.ServerState.REMOVED and list(table.engines) == ["s2"]
+    whole = table.apply(listing(3, target("s9"), whole=True), NOW, first_of_watch=True)
+    assert whole is not None and whole.kind is api.ListKind.FULL and list(table.engines) == ["s9"] and table.rev == 3
 
 
 @pytest.mark.parametrize("indent", [None, 2, "\t"])
 @pytest.mark.parametrize("step", [1, 7, 100_000])
-def test_a_watch_is_read_in_lines_or_indented_in_pieces_of_any_size(indent: int | str | None, step: int) -> None:
-    told = [{"rev": 1, "all": True, "targets": [target("a"), target('b{["\\')]}, {"rev": 2, "targets": []}]
-    text = "\n" + "\n\n".join(json.dumps(each, indent=indent) for each in told) + "\n\n"
-    reader, got = documents.DocumentReader(), []
+def test_documents_on_one_line_or_indented_are_split_in_chunks_of_any_size(indent: int | str | None, step: int) -> None:
+    sent = [{"rev": 1, "all": True, "targets": [target("a"), target('b{["\\')]}, {"rev": 2, "targets": []}]
+    text = "\n" + "\n\n".join(json.dumps(each, indent=indent) for each in sent) + "\n\n"
+    reader, received = documents.DocumentReader(), []
     for at in range(0, len(text), step):
-        got += reader.feed(text.encode()[at : at + step])
-    assert [json.loads(each) for each in got] == told
+        received += reader.feed(text.encode()[at : at + step])
+    assert [json.loads(each) for each in received] == sent
 
 
-def test_a_document_that_is_cut_off_takes_no_other_along() -> None:
+def test_a_truncated_document_does_not_affect_others() -> None:
     reader = documents.DocumentReader()
     assert reader.feed(b'{"rev":1,"targets":[\n') == []
     assert reader.feed(b'\n{"rev":2}\n') == [b'{"rev":1,"targets":[', b'{"rev":2}']
@@ -271,18 +273,18 @@
         reader.feed(b"[" * (documents.MAX_DOCUMENT_BYTES + 1))
 
 
-def test_what_cannot_be_used_is_named_and_takes_nothing_along() -> None:
-    made = held()
-    event = made.apply(listing(1, target("s1", model="m9"), target("s2", endpoint="x"), target("s3"), whole=True), NOW)
-    assert event is not None and [e.server for e in event.entries] == ["s3"] and len(made.skipped) == 2
+def test_an_unusable_target_is_reported_and_does_not_affect_others() -> None:
+    table = empty_table()
+    event = table.apply(listing(1, target("s1", model="m9"), target("s2", endpoint="x"), target("s3"), whole=True), NOW)
+    assert event is not None and [e.server for e in event.entries] == ["s3"] and len(table.skipped) == 2
     for data in (b"{", b"[]", b'{"rev":"x"}', b"\xff", b"[" * 100_000):
         with pytest.raises(engine_table.ServerListError):
-            made.apply(data, NOW)
-    assert list(made.engines) == ["s3"]
+            table.apply(data, NOW)
+    assert list(table.engines) == ["s3"]
 
 
 @given(st.integers(64, 4096), st.floats(32, 2048))
-def test_the_shares_never_add_up_to_more_than_there_is(sockets: int, memory: float) -> None:
+def test_descriptor_shares_never_exceed_the_total(sockets: int, memory: float) -> None:
     shares = budget.divide_budget(sockets, memory)
     assert min(shares.clients, shares.requests, shares.wakers, shares.idle_connections) >= 1
     assert (
@@ -292,8 +294,9 @@
 
 
 @pytest.mark.parametrize("memory", [40, 192])
-def test_the_smallest_machine_carries_a_request_on_each_connection_that_usual_clients_may_have(memory: int) -> None:
-    """A third of the descriptors, less what is fixed: with fewer, half of a calm day was refused."""
+def test_the_smallest_machine_has_a_request_slot_for_each_connection_of_usual_clients(memory: int) -> None:
+    """Clients may have a third of the descriptors less the fixed ones; with fewer request slots, half of a scenario
+    without faults was refused."""
     shares = budget.divide_budget(256, memory)
     assert (
         shares.requests >= (256 - budget.FIXED_DESCRIPTORS - budget.BACKGROUND_CALL_DESCRIPTORS) // 3
@@ -301,7 +304,7 @@
     )
 
 
-def test_an_id_is_taken_once_and_forgotten_after_a_while() -> None:
+def test_an_id_is_accepted_once_within_the_retention_time() -> None:
     seen = request_ids.RecentRequestIds()
     assert (
         seen.add("a", 0) and not seen.add("a", request_ids.RETENTION_NS) and seen.add("a", request_ids.RETENTION_NS + 1)
@@ -314,54 +317,58 @@
 
 
 def test_a_release_goes_to_the_engine_that_answered_last() -> None:
-    """Not to one that fell silent with connections kept to it: each try there costs its whole time-out."""
-    engines = [engine_table.Engine(name, "10.0.0.1", n, READER, up) for n, (name, up) in enumerate(
+    """Not to a silent engine with idle connections: each try there costs the whole timeout."""
+    engines = [engine_table.Engine(name, "10.0.0.1", n, PREFILL, up) for n, (name, up) in enumerate(
         (("silent", True), ("answers", True), ("failed", True), ("drains", False), ("unheard", True)))]  # fmt: skip
-    heard = {"silent": 5.0, "answers": 9.0, "failed": 9.5, "drains": 9.9}
+    last_heard = {"silent": 5.0, "answers": 9.0, "failed": 9.5, "drains": 9.9}
     tried: set[str] = set()
     order = [
-        releases.choose_engine(engines, lambda e: heard.get(e.name, 0.0), {"failed": 20}, 10, tried) for _ in range(6)
+        releases.choose_engine(engines, lambda e: last_heard.get(e.name, 0.0), {"failed": 20}, 10, tried)
+        for _ in range(6)
     ]
     names = [engine.name for engine in order if engine is not None]
     assert names == ["answers", "silent", "unheard", "drains", "failed", "answers"]
     assert releases.choose_engine([], lambda e: 0.0, {}, 0, set()) is None
 
 
-def test_a_release_that_was_not_heard_goes_to_the_best_of_the_other_engines() -> None:
-    """An engine that failed goes to the back, and the next try skipped the one that had moved up: a release was heard
-    after 2 s though engines that lived were at hand."""
-    engines = [engine_table.Engine(f"e{n}", "10.0.0.1", n, READER, True) for n in range(8)]
-    suspects: dict[str, int] = {}
+def test_an_unacknowledged_release_goes_to_the_best_of_the_other_engines() -> None:
+    """Guards against choosing by position: an engine that failed moves to the end, and the next try skipped the engine
+    that took its place, so a release was acknowledged only after 2 s although working engines were available."""
+    engines = [engine_table.Engine(f"e{n}", "10.0.0.1", n, PREFILL, True) for n in range(8)]
+    suspect_until: dict[str, int] = {}
     tried: set[str] = set()
     order = []
     for _ in range(4):
-        engine = releases.choose_engine(engines, lambda e: float(-int(e.name[1:])), suspects, 10, tried)
+        engine = releases.choose_engine(engines, lambda e: float(-int(e.name[1:])), suspect_until, 10, tried)
         assert engine is not None
         order.append(engine.name)
-        suspects[engine.name] = 1_000  # it did not answer
+        suspect_until[engine.name] = 1_000  # it did not answer
     assert order == ["e0", "e1", "e2", "e3"]
 
 
-def test_connections_kept_to_a_silent_engine_do_not_draw_releases_there() -> None:
+def test_idle_connections_to_a_silent_engine_do_not_attract_releases() -> None:
     silent, answers = (
-        engine_table.Engine(name, "10.0.0.1", n, READER, True) for n, name in enumerate(("silent", "answers"))
+        engine_table.Engine(name, "10.0.0.1", n, PREFILL, True) for n, name in enumerate(("silent", "answers"))
     )
     pool = Pool(4, 60.0)
-    called = calls.EngineCalls(pool, lambda: 0, 0.25)
+    engine_calls = calls.EngineCalls(pool, lambda: 0, 0.25)
     for engine in (silent, silent, silent, answers):
         ours, theirs = socket.socketpair()
         theirs.close()
         pool.give(engine.host, engine.port, ours)
     assert pool.kept(silent.host, silent.port) == 3
-    assert releases.choose_engine([silent, answers], called.last_heard, {}, 0, set()) is answers
+    assert releases.choose_engine([silent, answers], engine_calls.last_heard, {}, 0, set()) is answers
     pool.forget({(silent.host, silent.port)})
-    assert called.last_heard(answers) == 0.0 < called.last_heard(silent)
+    assert engine_calls.last_heard(answers) == 0.0 < engine_calls.last_heard(silent)
     pool.close()
 
 
-def test_a_watch_that_falls_silent_is_open_anew_within_6_s_though_a_call_fails() -> None:
-    """The protocol: an empty line every 2 s, and what the agent has counts as told 6 s later, whatever failed."""
-    line, told = 2.0, 6.0
+def test_a_silent_watch_is_replaced_within_6_s_even_if_a_call_fails() -> None:
+    """The protocol: an empty line every 2 s, and changes have to be propagated 6 s after the agent received them."""
+    line_interval, propagation_limit = 2.0, 6.0
     pauses = 1.5 * (watch.FIRST_PAUSE_S + 2 * watch.FIRST_PAUSE_S)
-    assert 2 * line < watch.SILENCE_TIMEOUT_S  # two lines may be late
-    assert watch.SILENCE_TIMEOUT_S + watch.CONNECT_TIMEOUT_S + watch.FIRST_BYTE_TIMEOUT_S + pauses < told - 0.25
+    assert 2 * line_interval < watch.SILENCE_TIMEOUT_S  # two lines may be missing
+    assert (
+        watch.SILENCE_TIMEOUT_S + watch.CONNECT_TIMEOUT_S + watch.FIRST_BYTE_TIMEOUT_S + pauses
+        < propagation_limit - 0.25
+    )
--- a/tests/test_two_customers.py
+++ b/tests/test_two_customers.py
@@ -1,4 +1,4 @@
-"""Two customers' settings one after the other in one process: nothing of the first shows under the second."""
+"""Two customers' settings in one process, one after the other: nothing of the first is visible under the second."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from tests.rig import Client, Rig, chat, raw_settings, rig, wait_for
 from tests.test_choices import jam
 
-FIRST: dict[str, Any] = {
+FIRST_SETTINGS: dict[str, Any] = {
     "classes": [{"name": "aldo-talk", "first_token_ms": 2_000, "deadline_ms": 4_000, "worth": 9.0}],
     "tenants": [{"name": "aldo-house"}],
     "models": [{"name": "demo"}, {"name": "aldo-model"}],
     "routing": {"max_attempts": 3},
 }
-SECOND_ONE: dict[str, Any] = {
+SECOND_SETTINGS: dict[str, Any] = {
     "classes": [{"name": "second-talk", "first_token_ms": 1_500, "deadline_ms": 3_000, "effect": "unsafe"}],
     "tenants": [{"name": "second-house"}],
     "models": [{"name": "demo"}],
@@ -36,46 +36,46 @@
 }
 
 
-def shown(node: Rig) -> str:
-    """All that an instance tells of itself: metrics, health, what its log said since the change."""
+def visible_state(node: Rig) -> str:
+    """What an instance exposes: its metrics and its health."""
     return node.node.metrics()[0].decode() + json.dumps(node.node.health()[1])
 
 
-def served(node: Rig, count: int = 8) -> None:
+def serve_requests(node: Rig, count: int = 8) -> None:
     client = Client(node.port)
     for n in range(count):
         assert client.call(chat(f"text {n}"))[0].status == 200
     client.close()
 
 
-def test_a_reload_onto_another_customers_settings_shows_nothing_of_the_first() -> None:
-    with rig(1, 1, settings=FIRST) as node:
-        served(node)
-        assert "aldo-talk" in shown(node) and "aldo-house" in shown(node)
+def test_a_reload_to_another_customers_settings_exposes_nothing_of_the_first() -> None:
+    with rig(1, 1, settings=FIRST_SETTINGS) as node:
+        serve_requests(node)
+        assert "aldo-talk" in visible_state(node) and "aldo-house" in visible_state(node)
         assert wait_for(lambda: sum(event == "request" for event, _ in node.log.lines) == 8)
         node.log.lines.clear()
-        node.node.reload(parse(json.dumps(raw_settings(node.engines.list_url, **SECOND_ONE))))
+        node.node.reload(parse(json.dumps(raw_settings(node.engines.list_url, **SECOND_SETTINGS))))
         router = node.node.core.router
         assert isinstance(router, Router)
         assert [c.name for c in router.settings.classes] == ["second-talk"]
         assert [t.name for t in router.settings.tenants] == ["second-house"] and router.settings.max_attempts == 2
         assert not any(stat.count for stat in router.latency.values()) and not router.held_back
         assert wait_for(lambda: all(not s.took and not s.table.entries for s in router.servers.values()))
-        served(node)
-        assert "second-talk" in shown(node) and "aldo" not in shown(node)
+        serve_requests(node)
+        assert "second-talk" in visible_state(node) and "aldo" not in visible_state(node)
         client = Client(node.port)
         assert client.call({**chat(), "model": "aldo-model"})[0].status == 404
         client.close()
         assert not re.search("aldo", json.dumps([f for e, f in node.log.lines if e == "request"]))
 
 
-def test_a_request_of_the_first_that_ends_under_the_second_counts_as_nobodys() -> None:
-    """It was counted and logged under the class that has its number now."""
-    with rig(1, 1, settings=FIRST, token_ms=30.0, answer_least=20, answer_most=20) as node:
+def test_a_request_of_the_first_that_ends_under_the_second_counts_for_no_class() -> None:
+    """Guards against counting and logging it under the class that has its class number after the reload."""
+    with rig(1, 1, settings=FIRST_SETTINGS, token_ms=30.0, answer_least=20, answer_most=20) as node:
         client = Client(node.port)
         client.ask(chat(stream=True))
         assert client.sock.recv(1)
-        node.node.reload(parse(json.dumps(raw_settings(node.engines.list_url, **SECOND_ONE))))
+        node.node.reload(parse(json.dumps(raw_settings(node.engines.list_url, **SECOND_SETTINGS))))
         while client.sock.recv(65_536)[-5:] != b"0\r\n\r\n":
             pass
         assert wait_for(lambda: any(event == "request" for event, _ in node.log.lines))
@@ -84,73 +84,73 @@
         client.close()
 
 
-def test_a_node_started_on_a_second_customers_settings_in_one_process_shows_nothing_of_the_first() -> None:
-    with rig(1, 1, settings=FIRST) as node:
-        served(node)
-    with rig(1, 1, settings=SECOND_ONE) as node:
-        served(node)
-        assert "second-talk" in shown(node) and "aldo" not in shown(node)
+def test_a_second_customers_node_in_the_same_process_exposes_nothing_of_the_first() -> None:
+    with rig(1, 1, settings=FIRST_SETTINGS) as node:
+        serve_requests(node)
+    with rig(1, 1, settings=SECOND_SETTINGS) as node:
+        serve_requests(node)
+        assert "second-talk" in visible_state(node) and "aldo" not in visible_state(node)
 
 
-def test_a_class_that_has_gone_weighs_nothing_for_those_that_stay() -> None:
-    """Its worth of 9 made the one that stayed look worth a ninth, and refused early."""
+def test_a_removed_class_does_not_affect_the_remaining_classes() -> None:
+    """Guards against a removed class of utility 9: the remaining class was valued at a ninth and refused early."""
     base = SETTINGS.classes[0]
-    dear, plain = replace(base, name="dear", worth=9.0), replace(base, name="plain")
-    places = Places(replace(SETTINGS, classes=(dear, plain)))
+    valuable, plain = replace(base, name="dear", worth=9.0), replace(base, name="plain")
+    places = Places(replace(SETTINGS, classes=(valuable, plain)))
     laid = places.laid_out(replace(SETTINGS, classes=(plain,)))
     assert [(c.name, c.worth) for c in laid.classes] == [("dear", 0.0), ("plain", 1.0)]
     assert not places.another_deployment(replace(SETTINGS, classes=(plain,)))
     assert places.another_deployment(replace(SETTINGS, classes=(replace(base, name="other"),)))
 
 
-def test_classes_that_are_worth_nothing_are_served() -> None:
+def test_classes_without_utility_are_served() -> None:
     free = replace(SETTINGS, classes=(replace(SETTINGS.classes[0], worth=0.0),))
     bed = Bed(free)
     jam(bed)
-    bed.ask("q")  # its expected time is looked at
+    bed.ask("q")  # computes its expected time
 
 
 def edge_config(world: Any, **changes: Any) -> bytes:
-    told = json.loads(world.config())
-    told["settings"] = {**told["settings"], **changes}
-    return json.dumps(told).encode()
+    configuration = json.loads(world.config())
+    configuration["settings"] = {**configuration["settings"], **changes}
+    return json.dumps(configuration).encode()
 
 
-HOUSE = {"name": "second-house", "quota_rps": 5.0}
-OTHER = {
+TENANT = {"name": "second-house", "quota_rps": 5.0}
+OTHER_SETTINGS = {
     "request_classes": [
         {"name": "second-talk", "aim_ns": SECOND, "hard_limit_ns": 3 * SECOND, "semantics": "side_effect"}
     ],
-    "tenants": [HOUSE, {**HOUSE, "name": "third-house"}],
+    "tenants": [TENANT, {**TENANT, "name": "third-house"}],
 }
 
 
-def test_a_platform_node_refuses_another_customers_configuration_whole(tmp_path: Any, capfd: Any) -> None:
-    """Its router's tables are of the classes that run: discovery is not moved either."""
+def test_a_platform_node_refuses_another_customers_configuration_entirely(tmp_path: Any, capfd: Any) -> None:
+    """The router's tables are per class, so the configuration has no effect at all: discovery is not changed either."""
     with platform() as world, platform() as other:
         path = tmp_path / "config.json"
         path.write_bytes(world.config())
-        made = EdgeNode(parse_edge(path.read_bytes()))
-        made.start()
+        edge_node = EdgeNode(parse_edge(path.read_bytes()))
+        edge_node.start()
         try:
-            path.write_bytes(edge_config(other, **OTHER))
-            made.reload(path)
-            said = capfd.readouterr().err
-            assert f"configuration refused, nothing changed: {path}: $.settings.request_classes" in said
-            assert "found ['second-talk']; allowed while the node runs: ['chat']" in said
+            path.write_bytes(edge_config(other, **OTHER_SETTINGS))
+            edge_node.reload(path)
+            log_text = capfd.readouterr().err
+            assert f"configuration refused, nothing changed: {path}: $.settings.request_classes" in log_text
+            assert "found ['second-talk']; allowed while the node runs: ['chat']" in log_text
             client = Client(world.listen)
-            assert ask(client, "q0")[0].status == 200 and set(made.engine_table.engines) == set(world.engines)
+            assert ask(client, "q0")[0].status == 200 and set(edge_node.engine_table.engines) == set(world.engines)
             assert not other.discovery.asked
             client.close()
         finally:
-            made.stop()
+            edge_node.stop()
 
 
-def test_a_second_platform_node_in_the_process_has_its_own_names_and_limits() -> None:
+def test_two_platform_nodes_in_one_process_have_their_own_names_and_limits() -> None:
     with platform() as world:
         first = EdgeNode(parse_edge(world.config()))
-        told = edge_config(world, **OTHER).replace(f":{world.listen}".encode(), f":{free_port()}".encode())
-        second = EdgeNode(parse_edge(told))
+        changed = edge_config(world, **OTHER_SETTINGS).replace(f":{world.listen}".encode(), f":{free_port()}".encode())
+        second = EdgeNode(parse_edge(changed))
         try:
             assert first.classes == {"chat": 0} and second.classes == {"second-talk": 0}
             assert first.tenants == {} and second.tenants == {"second-house": 0, "third-house": 1}
@@ -163,27 +163,27 @@
 
 
 @pytest.mark.parametrize(("name", "number"), [("second-house", 0), ("third-house", 1), (None, 0)])
-def test_a_requests_tenant_is_read_where_the_deployment_has_tenants(name: str | None, number: int) -> None:
+def test_a_requests_tenant_is_parsed_if_the_deployment_has_tenants(name: str | None, number: int) -> None:
     from tests.test_edge import head
 
     tenants = {"second-house": 0, "third-house": 1}
-    made = requests.parse_request(head(X_Account=name), b"{}", {"plan": 0}, 0, 0, tenants)
-    assert made.tenant == number
+    parsed = requests.parse_request(head(X_Account=name), b"{}", {"plan": 0}, 0, 0, tenants)
+    assert parsed.tenant == number
     assert requests.parse_request(head(X_Account="nobody"), b"{}", {"plan": 0}, 0, 0, {}).tenant == 0
     with pytest.raises(requests.BadRequest, match="x-account: found 'nobody'; allowed: second-house, third-house"):
         requests.parse_request(head(X_Account="nobody"), b"{}", {"plan": 0}, 0, 0, tenants)
 
 
-def test_headers_that_are_the_clients_and_the_engines_pass_on() -> None:
-    """Seen on a deployment with keyed classes: the idempotency key did not arrive, and the engine refused the request
-    as not the client's."""
+def test_end_to_end_headers_are_forwarded() -> None:
+    """Guards against dropping the idempotency key: in a deployment with keyed classes the engine refused the request as
+    not the client's."""
     from tests.test_edge import head
 
-    made = requests.parse_request(
+    parsed = requests.parse_request(
         head(Idempotency_Key="k-1", Connection="X-Hop", X_Hop="1", Expect="100-continue", TE="trailers"),
         b"{}", {"plan": 0}, 0, 0, {})  # fmt: skip
-    passed = dict(made.body.headers)
-    assert passed["Idempotency-Key"] == "k-1" and passed["X-Service-Class"] == "plan"
-    assert not {"Connection", "X-Hop", "Expect", "Te", "X-Time-Left", "X-Correlation-Id"} & set(passed)
-    sent = build_request(made, 2 * SECOND)
+    forwarded = dict(parsed.body.headers)
+    assert forwarded["Idempotency-Key"] == "k-1" and forwarded["X-Service-Class"] == "plan"
+    assert not {"Connection", "X-Hop", "Expect", "Te", "X-Time-Left", "X-Correlation-Id"} & set(forwarded)
+    sent = build_request(parsed, 2 * SECOND)
     assert b"\r\nIdempotency-Key: k-1\r\n" in sent and sent.count(b"X-Time-Left: 2000m\r\n") == 1
