--- a/stonetrack/edge/abandoned.py
+++ b/stonetrack/edge/abandoned.py
@@ -35,7 +35,7 @@
 from stonetrack.engines.releases import Heard, Item
 from stonetrack.engines.releasing import Releasing
 from stonetrack.node import sockets
-from stonetrack.node.threads import lasting
+from stonetrack.node.threads import restarting_thread
 
 SECOND = 1_000_000_000
 MAX_ATTEMPTS = 1_024  # tracked at a time; above that the oldest are dropped
@@ -126,7 +126,7 @@
         self._stopping = False
         self.counts = Counts()
         self._releasing = Releasing(clock, MAX_RETRY_PAUSE_NS, THREADS, self._run_release, self._release_ended, log=log)
-        self._thread = lasting("abandoned-reads", self._run, log)
+        self._thread = restarting_thread("abandoned-reads", self._run, log)
 
     def __len__(self) -> int:
         return len(self._table.attempts)
--- a/stonetrack/edge/calls.py
+++ b/stonetrack/edge/calls.py
@@ -9,7 +9,7 @@
 
 from stonetrack.edge.engine_table import Engine
 from stonetrack.engines.pool import Pool
-from stonetrack.node.sockets import MachineShort, close, reset
+from stonetrack.node.sockets import ResourceExhausted, close, reset
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
 
@@ -83,7 +83,7 @@
                 reset(sock)
                 self._pool.unanswered(age)
                 raise
-        except MachineShort:
+        except ResourceExhausted:
             raise  # a local shortage, not a failure of the engine
         except OSError:
             self.suspect_until[engine.name] = self._clock() + SUSPECT_NS
--- a/stonetrack/edge/engines.py
+++ b/stonetrack/edge/engines.py
@@ -18,9 +18,9 @@
 from stonetrack.edge.requests import ID_HEADER, TIME_LEFT_HEADER
 from stonetrack.engines.attempt import SocketAttempt
 from stonetrack.engines.pool import Pool
-from stonetrack.node.ports import Ask, Attempt, Over
+from stonetrack.node.ports import Attempt, AttemptResult, InferenceRequest
 from stonetrack.node.records import Records
-from stonetrack.node.sockets import MachineShort, close, readable, reset
+from stonetrack.node.sockets import ResourceExhausted, close, readable, reset
 from stonetrack.node.transitions import Step
 from stonetrack.wire import http1, writer
 
@@ -29,12 +29,12 @@
 _LIMITS = http1.Limits(head=16_384, headers=64, body=8 << 20)
 
 
-def build_request(ask: Ask, time_left: int) -> bytes:
+def build_request(ask: InferenceRequest, time_left: int) -> bytes:
     """Encode the HTTP request of one attempt; ``time_left`` is how long the node waits for it, in nanoseconds."""
     body = ask.body
     headers = [
         ("Host", HOST),
-        (ID_HEADER.title(), ask.request),
+        (ID_HEADER.title(), ask.request_id),
         (TIME_LEFT_HEADER.title(), f"{max(time_left // 1_000_000, 1)}m"),
         *body.headers,
     ]
@@ -75,45 +75,45 @@
         self.pool.forget({(e.host, e.port) for e in engines.values()})
 
     def start(
-        self, ask: Ask, server: str, number: int, state: Any, place: bool, may_send: Callable[[str], bool]
-    ) -> Attempt | Over:
+        self, ask: InferenceRequest, server: str, number: int, state: Any, place: bool, may_send: Callable[[str], bool]
+    ) -> Attempt | AttemptResult:
         """See ``ports.Engines.start``."""
         engine = self._engines.get(server)
         if engine is None or not may_send(server):
-            return Over(api.Outcome.NOT_SENT, f"engine {server} is draining or gone")
+            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is draining or gone")
         try:
             # A pending release is retried while this connects: at an unreachable engine, connecting lasts for the whole
             # timeout, and nothing of the request has been sent meanwhile.
             sock, age = self.pool.take(engine.host, engine.port, self._connect_timeout)
-            wait_result = self.releases.await_release(ask.request)
+            wait_result = self.releases.await_release(ask.request_id)
             if wait_result is not ReleaseWaitResult.NONE_PENDING and age is not None and readable(sock):
                 close(sock)  # the engine closed it while the release was awaited
                 sock, age = self.pool.take(engine.host, engine.port, self._connect_timeout)
         except OSError as error:
             if self._trace is not None:
                 self._trace(f"trace connect {server}: {type(error).__name__} {error}")
-            exhausted = isinstance(error, MachineShort)  # a local shortage, not a failure of the engine
+            exhausted = isinstance(error, ResourceExhausted)  # a local shortage, not a failure of the engine
             outcome = api.Outcome.NOT_SENT if exhausted else api.Outcome.CONNECT_FAILED
-            return Over(outcome, f"engine {server}: {error}")
+            return AttemptResult(outcome, f"engine {server}: {error}")
         if wait_result is ReleaseWaitResult.UNACKNOWLEDGED:
             close(sock)  # not returned to the pool: nothing was received on it, so it may be dead
-            return Over(api.Outcome.NOT_SENT, "an older release of the request is not acknowledged yet")
+            return AttemptResult(api.Outcome.NOT_SENT, "an older release of the request is not acknowledged yet")
         if not may_send(server):  # a new list may have arrived while connecting
             reset(sock)
-            return Over(api.Outcome.NOT_SENT, f"engine {server} is draining")
+            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is draining")
         if self._trace is not None:
-            self._trace(f"trace conn {ask.request} {number} {server} {age}")
+            self._trace(f"trace conn {ask.request_id} {number} {server} {age}")
         time_left = ask.body.deadline - self._clock()
         if self._records is not None:
-            is_prefill = engine.role is api.Role.READER
+            is_prefill = engine.role is api.Role.PREFILL
             self._records.note(
-                ask.request,
+                ask.request_id,
                 Step.SENT,
                 server,
                 number,
                 why=_describe_age(age),
-                reads=is_prefill,
-                time_told=time_left,
+                is_prefill=is_prefill,
+                propagated_time=time_left,
                 closed_for=self._closed_for(server),
             )
         attempt = SocketAttempt(
@@ -123,18 +123,18 @@
             CANCEL_CONFIRM_S,
             lambda returned: self.pool.give(engine.host, engine.port, returned),
             api.Outcome.CONNECT_FAILED,
-            self._abandon_callback(ask.request, engine),
+            self._abandon_callback(ask.request_id, engine),
         )
         if self._trace is not None:
             self._traced_attempts[attempt] = server
         for event in attempt.push():
-            if isinstance(event, Over):
+            if isinstance(event, AttemptResult):
                 return event
         return attempt
 
     def _abandon_callback(self, request: str, engine: Engine) -> Callable[[socket.socket | None], None] | None:
         """What to call when an attempt ends without its engine's answer; None for a decode, which leaves no state."""
-        if self.abandoned is None or engine.role is not api.Role.READER:
+        if self.abandoned is None or engine.role is not api.Role.PREFILL:
             return None
         return partial(self.abandoned.add, request, engine)
 
@@ -147,8 +147,8 @@
         engine = self._engines.get(server)
         return self.pool.kept(engine.host, engine.port) if engine is not None else 0
 
-    def hold(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
-        """See ``ports.Engines.hold``: the platform's node requests no reservation (docs/obligations.md)."""
+    def reserve(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
+        """See ``ports.Engines.reserve``: the platform's node requests no reservation (docs/obligations.md)."""
         answer(False)
 
     def release(self, request: str, reader: str, state: Any, place: str, number: int, rest: bool) -> None:
--- a/stonetrack/edge/exchange.py
+++ b/stonetrack/edge/exchange.py
@@ -30,7 +30,7 @@
 import msgspec
 
 from stonetrack.api import LoadReport, Outcome, Role
-from stonetrack.node.ports import AttemptEvent, Began, Over, Passed
+from stonetrack.node.ports import AnswerStarted, AttemptEvent, AttemptResult, RawEvents
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
 
@@ -62,7 +62,7 @@
 
 
 class Exchange:
-    """Parses one answer by the table above; feed it bytes until it returns an ``Over``."""
+    """Parses one answer by the table above; feed it bytes until it returns an ``AttemptResult``."""
 
     __slots__ = ("_awaits_first", "_body", "_ended", "_head", "_informational", "_parse_report", "_reader", "_role",
                  "_tail", "_unanswered", "reusable", "seen", "started")  # fmt: skip
@@ -129,7 +129,7 @@
         if self._ended:
             return
         self._ended = True
-        events.append(Over(outcome, report=self._report(), **fields))
+        events.append(AttemptResult(outcome, report=self._report(), **fields))
 
     def _report(self) -> LoadReport | None:
         """The load report of the stream's last comment, else of the header; None for one that can't be parsed."""
@@ -148,11 +148,11 @@
                 return
             self._head = event
             self.reusable = event.keep_alive
-            self._awaits_first = event.status == 200 and self._role is not Role.READER
+            self._awaits_first = event.status == 200 and self._role is not Role.PREFILL
         elif isinstance(event, http1.Data):
             if self.started:
                 self._append_tail(event.data)
-                events.append(Passed(event.data))
+                events.append(RawEvents(event.data))
             elif self._awaits_first:
                 self._buffer_first_event(event.data, events)
             elif len(self._body) < _MAX_BODY_BYTES:
@@ -177,7 +177,7 @@
         self._body.clear()
         self.started = True
         self._append_tail(opening)
-        events += [Began(), Passed(opening)]
+        events += [AnswerStarted(), RawEvents(opening)]
 
     def _message_complete(self, head: http1.ResponseHead, events: list[AttemptEvent]) -> None:
         """Classify the answer once its message is complete; see the table above."""
@@ -185,7 +185,7 @@
         if self.started:
             found = _CACHED_TOKENS.findall(self._tail)
             self._end(Outcome.SERVED, events, kept_tokens=int(found[-1]) if found else 0)
-        elif status == 202 and self._role is not Role.WRITER:
+        elif status == 202 and self._role is not Role.DECODE:
             self._end(Outcome.READ, events, kept_tokens=self._cached_tokens(), state=True)
         elif status == 410 and unprocessed:
             self._end(Outcome.FULL, events, why="the state to be fetched is gone", state_missing=True)
--- a/stonetrack/edge/releases.py
+++ b/stonetrack/edge/releases.py
@@ -161,4 +161,4 @@
 
     def _note(self, request: str, step: Step, engine: str = "", why: str = "", decided: int = 0) -> None:
         if self._records is not None:
-            self._records.note(request, step, engine, why=why, decided=decided)
+            self._records.note(request, step, engine, why=why, decided_at=decided)
--- a/stonetrack/edge/requests.py
+++ b/stonetrack/edge/requests.py
@@ -12,7 +12,7 @@
 import re
 from dataclasses import dataclass
 
-from stonetrack.node.ports import Ask
+from stonetrack.node.ports import InferenceRequest
 from stonetrack.wire.http1 import Headers, RequestHead
 
 MS = 1_000_000
@@ -114,7 +114,7 @@
 
 def parse_request(
     head: RequestHead, body: bytes, classes: dict[str, int], waited_ns: int, now: int, tenants: dict[str, int]
-) -> Ask:
+) -> InferenceRequest:
     """Parse a request whose head arrived ``waited_ns`` ago; ``classes`` and ``tenants`` map names to numbers.
 
     ``now`` is the node's clock in nanoseconds.  Raises BadRequest."""
@@ -129,7 +129,7 @@
     facts = parse_facts(_single_header(headers, FACTS_HEADER))
     prompt_tokens = _parse_token_count(facts, "prompt_len", len(body) // CHARACTERS_PER_TOKEN)
     shared_prefix = facts.get("prefix")
-    return Ask(
+    return InferenceRequest(
         request,
         classes[name],
         _single_header(headers, SESSION_HEADER)[:200],
--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -40,8 +40,8 @@
 from stonetrack.frontend.connection import Connection, Request
 from stonetrack.frontend.host import Host, listen
 from stonetrack.node.core import Core
-from stonetrack.node.drive import Bounds, Drive, Waker
 from stonetrack.node.records import Records
+from stonetrack.node.request_runner import Bounds, RequestRunner, Waker
 from stonetrack.settings.schema import Limits, Timing
 
 SECOND = 1_000_000_000
@@ -96,7 +96,7 @@
             budget.abandoned,
             log,
         )
-        self.probes = Probes(self.calls, self.clock, self._parse_report, self.core.tell, log=log)
+        self.probes = Probes(self.calls, self.clock, self._parse_report, self.core.handle_event, log=log)
         self.engines = EdgeEngines(
             self.pool,
             self.releases,
@@ -164,7 +164,7 @@
         self._parse_reported_skipped = frozenset(self.engine_table.skipped)
         self.calls.retain(set(self.engine_table.engines))
         self.engines.list_changed(dict(self.engine_table.engines))
-        self.core.tell(event)
+        self.core.handle_event(event)
 
     def start(self) -> None:
         """Apply the configuration's server list, follow discovery, accept clients."""
@@ -210,16 +210,16 @@
         except requests.BadRequest as error:
             return sink.respond(error.status, str(error))
         with self._request_ids_lock:
-            is_new = self._request_ids.add(ask.request, self.clock())
+            is_new = self._request_ids.add(ask.request_id, self.clock())
         if not is_new:
-            return sink.respond(409, f"request {ask.request}: this id was used before; each request needs its own")
+            return sink.respond(409, f"request {ask.request_id}: this id was used before; each request needs its own")
         cls = self.config.settings.classes[ask.class_index]
-        self.records.open(ask.request, f"{cls.name} ({cls.effect.value})", cls.effect, ask.body.deadline)
+        self.records.open(ask.request_id, f"{cls.name} ({cls.effect.value})", cls.effect, ask.body.deadline)
         try:
-            lifecycle = Drive(self.core, self.engines, self.bounds, ask, sink, waker, self.records).run()
+            lifecycle = RequestRunner(self.core, self.engines, self.bounds, ask, sink, waker, self.records).run()
         finally:
-            self.records.close(ask.request)
-        return sink.keep and not lifecycle.gone
+            self.records.close(ask.request_id)
+        return sink.keep and not lifecycle.client_gone
 
     # Signals.
 
@@ -245,7 +245,7 @@
 
             lines: list[str] = []
             open_attempts = self.engines.open_attempts()
-            self.core.still(
+            self.core.run_exclusively(
                 lambda: lines.extend(
                     server_lines(self._router_instance.router, open_attempts, self.engines.idle_connections)
                 )
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -25,11 +25,11 @@
     watch,
 )
 from stonetrack.engines.pool import Pool
-from stonetrack.node.ports import Began, Over, Passed
+from stonetrack.node.ports import AnswerStarted, AttemptResult, RawEvents
 from stonetrack.wire import http1
 
 LIMITS = http1.Limits(head=16_384, headers=64, body=1 << 20)
-PREFILL, DECODE = api.Role.READER, api.Role.WRITER
+PREFILL, DECODE = api.Role.PREFILL, api.Role.DECODE
 SETTINGS: dict[str, Any] = {
     "me": 1,
     "balancers": 2,
@@ -102,12 +102,12 @@
 
 def test_a_request_head_is_parsed() -> None:
     parsed = requests.parse_request(head(X_Repeat="1"), b"{}", {"chat": 0, "plan": 1}, 100_000_000, 7_000_000_000, {})
-    assert (parsed.request, parsed.class_index, parsed.session) == ("9b1f03aa5c7e2d41", 1, "7f")
+    assert (parsed.request_id, parsed.class_index, parsed.session) == ("9b1f03aa5c7e2d41", 1, "7f")
     assert parsed.time_left == 4_700_000_000 - requests.ANSWER_MARGIN_NS and parsed.body.deadline == 11_700_000_000
-    assert (parsed.prompt_tokens, parsed.shared_beginning, parsed.shared_tokens) == (5120, "5c0f", 2048)
+    assert (parsed.prompt_tokens, parsed.shared_prefix, parsed.shared_tokens) == (5120, "5c0f", 2048)
     assert parsed.max_answer_tokens == 800 and parsed.repeated
     without_facts = requests.parse_request(head(X_Facts=None), b"x" * 400, {"plan": 1}, 0, 0, {})
-    assert without_facts.prompt_tokens == 100 and without_facts.shared_beginning is None and not without_facts.repeated
+    assert without_facts.prompt_tokens == 100 and without_facts.shared_prefix is None and not without_facts.repeated
     assert requests.parse_time_left("1500u") == 1_500_000
 
 
@@ -159,8 +159,8 @@
 @given(st.integers(1, len(STREAM)))
 def test_a_stream_is_forwarded_unchanged_in_chunks_of_any_size(step: int) -> None:
     events, answer = feed(STREAM, step)
-    assert isinstance(events[0], Began) and isinstance(events[-1], Over)
-    assert b"".join(e.data for e in events if isinstance(e, Passed)) == b"".join(EVENTS)
+    assert isinstance(events[0], AnswerStarted) and isinstance(events[-1], AttemptResult)
+    assert b"".join(e.data for e in events if isinstance(e, RawEvents)) == b"".join(EVENTS)
     assert events[-1].outcome is api.Outcome.SERVED and events[-1].kept_tokens == 4096
     assert events[-1].report == api.LoadReport(in_flight=7.0)
     assert answer.reusable and answer.settled
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("step", [1, 7, 1 << 20])
 def test_outcomes(role: api.Role, data: bytes, outcome: api.Outcome, state_missing: bool, step: int) -> None:
     events, _ = feed(data, step, role, close=True)
-    assert len(events) == 1 and isinstance(events[0], Over)
+    assert len(events) == 1 and isinstance(events[0], AttemptResult)
     assert events[0].outcome is outcome and events[0].state_missing is state_missing
     assert (events[0].rejection is not None) is (outcome is api.Outcome.SERVED)
     assert events[0].kept_tokens == (4096 if b"4096" in data else 0)
@@ -193,7 +193,7 @@
 def test_a_stream_corrupted_before_its_first_event_never_starts_and_later_is_reset(step: int) -> None:
     opening = STREAM.index(b"data:")
     corrupted, _ = feed(STREAM[:opening] + STREAM[opening : opening + 30] + b"\xff" * 200, step)
-    assert not any(isinstance(e, Began) for e in corrupted[:-1]) or corrupted[-1].outcome is api.Outcome.RESET
+    assert not any(isinstance(e, AnswerStarted) for e in corrupted[:-1]) or corrupted[-1].outcome is api.Outcome.RESET
     second = STREAM.index(b"\r\n", STREAM.index(EVENTS[0]) + len(EVENTS[0])) + 2
     later, answer = feed(STREAM[:second] + b"zz\r\nnoise", step)
     assert later[-1].outcome is api.Outcome.RESET and not answer.reusable
--- a/tests/test_edge_serving.py
+++ b/tests/test_edge_serving.py
@@ -26,24 +26,24 @@
 from stonetrack.engines.pool import Pool
 from stonetrack.logic import MS, SECOND
 from stonetrack.node.invariants import Invariant
-from stonetrack.node.ports import Ask, Over
+from stonetrack.node.ports import AttemptResult, InferenceRequest
 from stonetrack.soak.engine_side import Kind as Held
 from stonetrack.soak.latitude import KINDEST, Latitude, Sentence
 from stonetrack.wire import writer
-from tests.platform import CHAT, REPORT, Platform, ask, at_rest, headers, node, platform, program
-from tests.rig import Client, wait_for
+from tests.harness import Client, wait_for
+from tests.platform import CHAT, REPORT, Platform, headers, is_idle, node, platform, program, round_trip
 
 
 def test_a_request_is_prefilled_and_decoded_and_no_state_is_leaked() -> None:
     with platform() as world, node(world) as edge_node:
         client = Client(world.listen)
         for n in range(20):
-            head, body = ask(client, f"q{n}")
+            head, body = round_trip(client, f"q{n}")
             assert head.status == 200 and body.count(b"data: ") == world.events + 2 and b"[DONE]" in body
             assert [what for what, _ in world.which(f"q{n}")] == ["read", "write"]
             assert world.bodies[f"q{n}"] == b'{"model":"chat"}' and 0 < int(world.left[f"q{n}"][:-1]) <= 3000
         client.close()
-        assert wait_for(lambda: at_rest(edge_node)) and not world.held and world.most_out == 1
+        assert wait_for(lambda: is_idle(edge_node)) and not world.held and world.most_out == 1
         assert edge_node.core.router.servers["r0"].report is not None  # type: ignore[attr-defined]
 
 
@@ -52,13 +52,13 @@
         world.pause = 0.2
         clients = [Client(world.listen) for _ in range(3)]
         for n, client in enumerate(clients):
-            client.ask(b"{}", headers=headers(f"q{n}"))
+            client.send_request(b"{}", headers=headers(f"q{n}"))
         assert wait_for(lambda: edge_node.core.router.servers["w0"].streams == 3)  # type: ignore[attr-defined]
         assert wait_for(lambda: edge_node.engines.open_attempts() == {"w0": 3})
         edge_node.maintain()
         for client in clients:
             assert client.answer()[0].status == 200
-        assert wait_for(lambda: at_rest(edge_node)) and not +edge_node.engines.open_attempts()
+        assert wait_for(lambda: is_idle(edge_node)) and not +edge_node.engines.open_attempts()
     log_text = capfd.readouterr().err
     assert re.search(r"trace belief w0 writer up waiting \d streams 3 .*; sockets: open 3", log_text), log_text
 
@@ -66,9 +66,9 @@
 def test_metrics_count_steps_and_list_invariants_without_violations() -> None:
     with platform() as world, node(world) as edge_node:
         client = Client(world.listen)
-        assert ask(client, "q")[0].status == 200
+        assert round_trip(client, "q")[0].status == 200
         assert wait_for(lambda: len(edge_node.records) == 0)
-        client.ask(b"", "/metrics", "GET")
+        client.send_request(b"", "/metrics", "GET")
         head, body = client.answer()
     metrics = dict(line.rsplit(" ", 1) for line in body.decode().splitlines() if line and line[0] != "#")
     assert head.status == 200 and metrics['stonetrack_edge_answers_total{kind="served"}'] == "1.0"
@@ -81,10 +81,10 @@
     with platform() as world, node(world):
         client = Client(world.listen)
         for changes in ({"X_Service_Class": "nobody"}, {"X_Time_Left": "soon"}, {"X_Correlation_Id": "a b"}):
-            assert ask(client, "q", **changes)[0].status == 400
-        client.ask(b"", "/nowhere", "GET")
+            assert round_trip(client, "q", **changes)[0].status == 400
+        client.send_request(b"", "/nowhere", "GET")
         assert client.answer()[0].status == 404
-        assert ask(client, "q")[0].status == 200
+        assert round_trip(client, "q")[0].status == 200
         two_lengths = Client(world.listen)
         two_lengths.send(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 40\r\n"
                   b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nPOST /v1/chat/completions HTTP/1.1\r\n\r\n")  # fmt: skip
@@ -100,14 +100,14 @@
         world.pause = 0.05
         first, second = Client(world.listen), Client(world.listen)
         answers: list[int] = []
-        thread = threading.Thread(target=lambda: answers.append(ask(first, "same")[0].status))
+        thread = threading.Thread(target=lambda: answers.append(round_trip(first, "same")[0].status))
         thread.start()
         assert wait_for(lambda: ("read", "r0") in world.which("same") or ("read", "r1") in world.which("same"))
-        assert ask(second, "same")[0].status == 409
+        assert round_trip(second, "same")[0].status == 409
         thread.join(5.0)
         assert answers == [200] and world.most_out == 1
         before = world.which("same")
-        assert ask(second, "same")[0].status == 409  # engines may still hold a state or a reservation for it
+        assert round_trip(second, "same")[0].status == 409  # engines may still hold a state or a reservation for it
         assert world.which("same") == before
 
 
@@ -116,10 +116,10 @@
         for name in ("r0", "r1"):
             world.engines[name].faults.extend(["400"] * 2)
         client = Client(world.listen)
-        assert ask(client, "bad")[0].status == 400
+        assert round_trip(client, "bad")[0].status == 400
         tried = [what for what, _ in world.which("bad") if what != "release"]  # the release follows at any time
         assert tried == ["read"]
-        assert not any(s.paused for s in edge_node.core.router.servers.values())  # type: ignore[attr-defined]
+        assert not any(s.ejections for s in edge_node.core.router.servers.values())  # type: ignore[attr-defined]
 
 
 def test_a_release_is_acknowledged_before_its_request_is_prefilled_again() -> None:
@@ -132,7 +132,7 @@
         for n in range(6):
             world.engines["r0"].faults.append("reset")
             world.engines["r1"].faults.append("reset")
-            assert ask(client, f"q{n}")[0].status in (200, 503)
+            assert round_trip(client, f"q{n}")[0].status in (200, 503)
             for name in ("r0", "r1"):
                 world.engines[name].faults.clear()
             calls = [what for what, _ in world.which(f"q{n}")]
@@ -146,7 +146,7 @@
     """At an unreachable engine, connecting lasts for the whole timeout: a held state must not wait for that."""
     clock, acknowledged, timed_out = time.monotonic_ns, threading.Event(), threading.Event()
     prefill_engines = {
-        f"r{n}": engine_table.Engine(f"r{n}", "127.0.0.1", n + 1, api.Role.READER, True) for n in range(2)
+        f"r{n}": engine_table.Engine(f"r{n}", "127.0.0.1", n + 1, api.Role.PREFILL, True) for n in range(2)
     }
 
     class UnreachablePool(Pool):
@@ -171,8 +171,10 @@
     engines.list_changed(prefill_engines)
     started = time.monotonic()
     releases.release("q")
-    result = engines.start(Ask("q", 0, "", 8 * SECOND, 100, b""), "r0", 1, None, False, lambda server: True)
-    assert isinstance(result, Over) and result.outcome is api.Outcome.CONNECT_FAILED
+    result = engines.start(
+        InferenceRequest("q", 0, "", 8 * SECOND, 100, b""), "r0", 1, None, False, lambda server: True
+    )
+    assert isinstance(result, AttemptResult) and result.outcome is api.Outcome.CONNECT_FAILED
     assert releases.open and acknowledged.wait(1.0) and time.monotonic() - started < 0.5
     releases.stop()
 
@@ -191,15 +193,17 @@
 
         edge_node.calls.call = call  # type: ignore[method-assign]
         edge_node.releases.release("q")
-        request = Ask(
+        request = InferenceRequest(
             "q", 0, "", 8 * SECOND, 100, requests.ForwardedRequest(CHAT, b"{}", edge_node.core.clock() + SECOND)
         )
         result = edge_node.engines.start(request, "r0", 0, None, False, lambda server: True)
-        assert isinstance(result, Over) and result.outcome is api.Outcome.NOT_SENT
+        assert isinstance(result, AttemptResult) and result.outcome is api.Outcome.NOT_SENT
         assert edge_node.releases.open and not world.which("q")
         reachable.set()
         assert wait_for(lambda: not edge_node.releases.open)
-        assert not isinstance(edge_node.engines.start(request, "r0", 1, None, False, lambda server: True), Over)
+        assert not isinstance(
+            edge_node.engines.start(request, "r0", 1, None, False, lambda server: True), AttemptResult
+        )
         assert wait_for(lambda: [what for what, _ in world.which("q")] == ["release", "read"])
 
 
@@ -207,7 +211,7 @@
     """Guards against handing the release to a thread that is connecting, which lasts longer than the release time."""
     with platform(1, 2) as world, node(world) as edge_node:
         client = Client(world.listen)
-        assert ask(client, "first")[0].status == 200
+        assert round_trip(client, "first")[0].status == 200
         real_take, slow = edge_node.pool.take, threading.Event()
         decode_ports = {world.engines[name].port for name in ("w0", "w1")}
 
@@ -220,14 +224,14 @@
 
         edge_node.pool.take = connect_slowly  # type: ignore[method-assign]
         slow.set()
-        client.ask(b"{}", headers=headers("q"))
+        client.send_request(b"{}", headers=headers("q"))
         assert wait_for(lambda: ("release", "r0") in world.which("q"), 5.0)
         prefilled_at = next(each.at for each in world.seen if (each.what, each.request) == ("read", "q"))
         released_at = next(each.at for each in world.seen if (each.what, each.request) == ("release", "q"))
         assert released_at - prefilled_at < 0.75, "the release waited for the connecting thread"
         slow.clear()
         assert client.answer()[0].status in (200, 502, 503)
-        assert wait_for(lambda: at_rest(edge_node)) and not world.held
+        assert wait_for(lambda: is_idle(edge_node)) and not world.held
 
 
 def test_a_release_that_may_precede_the_end_of_a_prefill_is_followed_by_others() -> None:
@@ -236,7 +240,7 @@
         world.latitude = Latitude(0, {**KINDEST, Sentence.GIVEN_UP: True, Sentence.RELEASE_INTO_READ: False})
         world.work = 0.2
         client = Client(world.listen)
-        client.ask(b"{}", headers=headers("q"))
+        client.send_request(b"{}", headers=headers("q"))
         assert wait_for(lambda: ("read", "r0") in world.which("q"))
         client.close()
         assert wait_for(lambda: ("release", "r0") in world.which("q") or ("release", "w0") in world.which("q"))
@@ -253,27 +257,27 @@
         assert edge_node.config.settings.may_hold_place
         client = Client(world.listen)
         for n in range(8):
-            assert ask(client, f"q{n}")[0].status == 200
-        edge_node.engines.hold("q9", "w0", 0, answer := list[bool]().append)
+            assert round_trip(client, f"q{n}")[0].status == 200
+        edge_node.engines.reserve("q9", "w0", 0, answer := list[bool]().append)
         assert answer.__self__ == [False]  # type: ignore[attr-defined]
         assert not [each for each in world.seen if each.what == "place"]
-        assert wait_for(lambda: at_rest(edge_node)) and not world.held
+        assert wait_for(lambda: is_idle(edge_node)) and not world.held
 
 
 def test_a_stream_corrupted_at_its_start_is_retried_and_one_corrupted_later_breaks_off_at_once() -> None:
     with platform(2, 1) as world, node(world):
         world.engines["w0"].faults.append("noise")
         client = Client(world.listen)
-        assert ask(client, "q0")[0].status == 200
+        assert round_trip(client, "q0")[0].status == 200
         assert [what for what, _ in world.which("q0") if what in ("read", "write")] == ["read", "write"] * 2
         world.engines["w0"].faults.append("spoilt")
         began = time.monotonic()
         with pytest.raises((ConnectionError, ValueError)):
-            ask(client, "q1")
+            round_trip(client, "q1")
         assert time.monotonic() - began < 2.0
         for fault in ("ahead", "behind", ""):
             world.engines["w0"].faults.append(fault)
-            assert ask(Client(world.listen), f"q-{fault}")[0].status == 200
+            assert round_trip(Client(world.listen), f"q-{fault}")[0].status == 200
 
 
 def test_an_engine_listed_as_draining_is_sent_nothing_more() -> None:
@@ -284,7 +288,7 @@
         world.change("w1", "DELETED")
         assert wait_for(lambda: edge_node.engine_table.rev == world.rev)
         for n in range(8):
-            assert ask(client, f"q{n}")[0].status == 200
+            assert round_trip(client, f"q{n}")[0].status == 200
         assert {engine for _, what, engine, _ in world.seen if what in ("read", "write", "place")} == {"r1", "w0"}
 
 
@@ -292,10 +296,10 @@
     with platform() as world, node(world) as edge_node:
         world.work = 0.2
         client = Client(world.listen)
-        client.ask(b"{}", headers=headers("q"))
+        client.send_request(b"{}", headers=headers("q"))
         assert wait_for(lambda: bool(world.which("q")))
         client.close()
-        assert wait_for(lambda: at_rest(edge_node)) and wait_for(lambda: not world.held)
+        assert wait_for(lambda: is_idle(edge_node)) and wait_for(lambda: not world.held)
 
 
 def test_a_further_attempt_announces_no_more_time_than_is_left() -> None:
@@ -304,7 +308,7 @@
         for name in ("r0", "r1"):
             world.engines[name].faults.append("500")
         began = time.monotonic()
-        assert ask(Client(world.listen), "q")[0].status == 200
+        assert round_trip(Client(world.listen), "q")[0].status == 200
         calls = [what for what, _ in world.which("q") if what in ("read", "write")]
         assert calls.count("read") > 1 and calls[-1] == "write"
         decoded_at = next(at for at, what, _, request in world.seen if (what, request) == ("write", "q"))
@@ -335,7 +339,7 @@
 
         monkeypatch.setattr(edge_node.pool, "take", connect_slowly)
         client = Client(world.listen)
-        client.ask(b"{}", CHAT, headers=headers("q"))
+        client.send_request(b"{}", CHAT, headers=headers("q"))
         assert connecting.wait(5.0)
         before = [what for what, _ in world.which("q")].count("read")
         if leave == "close":
@@ -344,7 +348,7 @@
             client.sock.shutdown(socket.SHUT_WR)
         time.sleep(0.02)
         left.set()
-        assert wait_for(lambda: at_rest(edge_node))
+        assert wait_for(lambda: is_idle(edge_node))
         assert [what for what, _ in world.which("q")].count("read") == before == int(further)
 
 
@@ -361,9 +365,9 @@
                 sock.connect_ex(("127.0.0.1", world.listen))
                 silent.append(sock)
             n += 1
-            assert ask(usual, f"old{n}")[0].status == 200
+            assert round_trip(usual, f"old{n}")[0].status == 200
             fresh = Client(world.listen)
-            assert ask(fresh, f"new{n}")[0].status == 200
+            assert round_trip(fresh, f"new{n}")[0].status == 200
             fresh.close()
         assert len(silent) > 200 and edge_node.host.connections <= edge_node.host.limits.connections
         for connection in silent:
@@ -376,14 +380,14 @@
         def send_requests(count: int, tag: str) -> None:
             for n in range(count):
                 client = Client(world.listen)
-                assert ask(client, f"{tag}{n}")[0].status == 200
+                assert round_trip(client, f"{tag}{n}")[0].status == 200
                 client.close()
 
         send_requests(40, "warm")
-        assert wait_for(lambda: at_rest(edge_node) and edge_node.host.connections == 0)
+        assert wait_for(lambda: is_idle(edge_node) and edge_node.host.connections == 0)
         before = len(os.listdir("/proc/self/fd"))
         send_requests(150, "more")
-        assert wait_for(lambda: at_rest(edge_node) and edge_node.host.connections == 0)
+        assert wait_for(lambda: is_idle(edge_node) and edge_node.host.connections == 0)
         assert len(os.listdir("/proc/self/fd")) <= before + 8
 
 
@@ -395,7 +399,7 @@
 
         def user(n: int) -> None:
             try:
-                answers.append(ask(Client(world.listen), f"q{n}")[0].status)
+                answers.append(round_trip(Client(world.listen), f"q{n}")[0].status)
             except (OSError, ValueError) as error:
                 lost.append(f"{n}: {error}")
 
@@ -418,9 +422,9 @@
     """A request that arrives later than 0.7 s after TERM and has no answer at the exit counts as lost."""
     with platform() as world, node(world) as edge_node:
         idle, accepted = (Client(world.listen) for _ in range(2))
-        assert ask(idle, "before")[0].status == 200
+        assert round_trip(idle, "before")[0].status == 200
         world.pause = 0.3
-        accepted.ask(b"{}", headers=headers("taken"))
+        accepted.send_request(b"{}", headers=headers("taken"))
         assert wait_for(lambda: bool(world.which("taken")))
         draining = threading.Thread(target=edge_node.drain)
         draining.start()
@@ -428,12 +432,12 @@
         time.sleep(ACCEPTING_S / 2)
         fresh = Client(world.listen)  # from here on, a drain waits a second for its first request
         time.sleep(ACCEPTING_S / 2 + 0.1)
-        head, _ = ask(fresh, "late")
+        head, _ = round_trip(fresh, "late")
         assert head.status == 503 and head.headers.get("connection") == "close" and not world.which("late")
         head, body = accepted.answer()
         assert head.status == 200 and b"[DONE]" in body
         draining.join(10.0)
-        assert not draining.is_alive() and at_rest(edge_node)
+        assert not draining.is_alive() and is_idle(edge_node)
 
 
 def test_a_process_that_was_stopped_for_a_while_continues_to_serve(tmp_path: Path) -> None:
@@ -446,20 +450,20 @@
             run.signal(signal.SIGCONT)
             time.sleep(0.3)
             assert run.process.poll() is None
-        assert ask(Client(world.listen), "q")[0].status == 200
+        assert round_trip(Client(world.listen), "q")[0].status == 200
 
 
 def test_hup_changes_the_discovery_address_and_nothing_else(tmp_path: Path) -> None:
     with platform() as world, program(world, tmp_path) as run:
         client = Client(world.listen)
-        assert ask(client, "before")[0].status == 200
+        assert round_trip(client, "before")[0].status == 200
         other = Platform(1, 1)
         try:
             other.engines, other.states, other.rev = world.engines, world.states, world.rev
             configuration = json.loads(world.config())
             run.path.write_bytes(b"{ not yet whole")
             run.signal(signal.SIGHUP)
-            assert ask(client, "between")[0].status == 200
+            assert round_trip(client, "between")[0].status == 200
             configuration["discovery"] = f"127.0.0.1:{other.discovery.port}"
             run.path.write_text(json.dumps(configuration))
             run.signal(signal.SIGHUP)
@@ -468,7 +472,7 @@
             other.change("r0", "DRAINING")
             time.sleep(0.2)
             for n in range(6):
-                assert ask(client, f"q{n}")[0].status == 200
+                assert round_trip(client, f"q{n}")[0].status == 200
             assert not any(("read", "r0") in world.which(f"q{n}") for n in range(6))
         finally:
             other.discovery.close()
@@ -511,7 +515,7 @@
             return real_take(host, port, timeout)
 
         monkeypatch.setattr(edge_node.pool, "take", connect_slowly)
-        assert ask(Client(world.listen), "q")[0].status == 200
+        assert round_trip(Client(world.listen), "q")[0].status == 200
         drained_engine = next(name for name, state in world.states.items() if state == "DRAINING")
         assert drained.is_set() and ("read", drained_engine) not in world.which("q")
 
@@ -525,7 +529,7 @@
         def user(n: int) -> None:
             client = Client(world.listen)
             for k in range(4):
-                answers.append(ask(client, f"q{n}-{k}", X_Session_Key=f"s{n}")[0].status)
+                answers.append(round_trip(client, f"q{n}-{k}", X_Session_Key=f"s{n}")[0].status)
 
         threads = [threading.Thread(target=user, args=(n,)) for n in range(10)]
         for thread in threads:
@@ -538,7 +542,7 @@
         for thread in threads:
             thread.join(10.0)
         assert answers == [200] * 40 and edge_node.core.router is router
-        cached_keys = {key for s in router.servers.values() for key in s.table.entries}  # type: ignore[attr-defined]
+        cached_keys = {key for s in router.servers.values() for key in s.prefix_table.entries}  # type: ignore[attr-defined]
         assert {f"session s{n}" for n in range(10)} <= cached_keys
 
 
@@ -549,7 +553,7 @@
         def send_requests(count: int, tag: str) -> int:
             for n in range(count):
                 client = Client(world.listen)
-                assert ask(client, f"{tag}{n}", X_Session_Key="one")[0].status == 200
+                assert round_trip(client, f"{tag}{n}", X_Session_Key="one")[0].status == 200
                 client.close()
             status = Path(f"/proc/{run.process.pid}/status").read_text()
             return int(re.search(r"VmRSS:\s+(\d+) kB", status).group(1))  # type: ignore[union-attr]
@@ -563,12 +567,12 @@
     with platform(12, 1) as world, node(world):
         client = Client(world.listen)
         for n in range(4):  # the router learns how long a prefill takes
-            assert ask(client, f"warm{n}")[0].status == 200
+            assert round_trip(client, f"warm{n}")[0].status == 200
         for engine in world.engines.values():
             engine.load = "TEXT inflight=9, queue=9, x0=0.1, x1=900"
         world.engines["r5"].load = REPORT
         time.sleep(0.6)  # earlier load reports expire
-        served = [n for n in range(60) if ask(client, f"q{n}")[0].status == 200]
+        served = [n for n in range(60) if round_trip(client, f"q{n}")[0].status == 200]
         assert {e for n in served for what, e in world.which(f"q{n}") if what == "read"} == {"r5"}
         assert 3 <= len(served) < 60  # the others would be too late: the request is refused and nothing is sent
 
@@ -579,14 +583,14 @@
         client = Client(world.listen)
         for n in range(60):
             since = time.monotonic()
-            assert ask(client, f"q{n}")[0].status == 200
+            assert round_trip(client, f"q{n}")[0].status == 200
             assert time.monotonic() - since < 1.0
-            if edge_node.core.router.servers["r3"].paused:  # type: ignore[attr-defined]
+            if edge_node.core.router.servers["r3"].ejections:  # type: ignore[attr-defined]
                 break
-        assert edge_node.core.router.servers["r3"].paused  # type: ignore[attr-defined]
+        assert edge_node.core.router.servers["r3"].ejections  # type: ignore[attr-defined]
         before = len(world.seen)
         for n in range(20):
-            assert ask(client, f"after{n}")[0].status == 200
+            assert round_trip(client, f"after{n}")[0].status == 200
         assert not [e for _, what, e, _ in world.seen[before:] if what == "read" and e == "r3"]
 
 
