--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -34,10 +34,10 @@
 from stonetrack.edge.probes import Probes
 from stonetrack.edge.releases import Releases
 from stonetrack.edge.request_ids import RecentRequestIds
-from stonetrack.edge.sink import EdgeSink, plain_response
+from stonetrack.edge.sink import EdgeSink, text_response
 from stonetrack.edge.watch import DiscoveryWatch
 from stonetrack.engines.pool import Pool
-from stonetrack.frontend.connection import Connection, Request
+from stonetrack.frontend.connection import Connection, HttpRequest
 from stonetrack.frontend.host import Host, listen
 from stonetrack.node.core import Core
 from stonetrack.node.records import Records
@@ -130,7 +130,7 @@
             ),
             Timing(header_ms=2_000, body_ms=2_500, idle_ms=2_500, client_stall_ms=CLIENT_STALL_NS // 1_000_000),
             self.handle,
-            plain_response,
+            text_response,
             log,
             budget.wakers,
         )
@@ -192,7 +192,7 @@
 
     # Requests.
 
-    def handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def handle(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         """Serve one request; returns whether the connection may be kept open."""
         head = request.head
         sink = EdgeSink(connection, request)
@@ -262,16 +262,16 @@
         """Stop accepting, serve all accepted requests to their end; signals that arrive meanwhile have no effect."""
         started = time.monotonic()
         self._refuse_after = time.monotonic_ns() + int(ACCEPTING_S * SECOND)
-        self.host.leave()
+        self.host.close_after_responses()
         time.sleep(ACCEPTING_S)
-        self.host.drain(sweep=True)
+        self.host.drain(accept_queued=True)
         while self.core.open_requests:
             time.sleep(0.02)
         # The host is sealed last: meanwhile it reads and refuses late requests, which would otherwise get no answer.
         until = max(started + self._drain_time_s(), time.monotonic() + LAST_RELEASES_S)
         while (self.releases.open or len(self.abandoned)) and time.monotonic() < until:
             time.sleep(0.02)
-        while self.core.open_requests or not self.host.seal():
+        while self.core.open_requests or not self.host.stop_reading_if_idle():
             time.sleep(0.02)
         self.releases.wait(1.0)
 
--- a/stonetrack/edge/sink.py
+++ b/stonetrack/edge/sink.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from stonetrack.frontend.connection import Connection, Request
-from stonetrack.frontend.host import plain
-from stonetrack.frontend.writing import ConnectionSink
+from stonetrack.frontend.connection import Connection, HttpRequest
+from stonetrack.frontend.connection_sink import ConnectionSink
+from stonetrack.frontend.host import plain_response
 from stonetrack.node import ports
 from stonetrack.wire import writer
 
@@ -19,9 +19,9 @@
     return (("Retry-After", f"{nanoseconds / SECOND:g}"),) if nanoseconds > 0 else ()
 
 
-def plain_response(status: int, text: str, headers: tuple[tuple[str, str], ...] = (), keep: bool = False) -> bytes:
+def text_response(status: int, text: str, headers: tuple[tuple[str, str], ...] = (), keep: bool = False) -> bytes:
     """A complete answer in plain text; announces that the connection closes unless ``keep``."""
-    return plain(status, f"{text}\n".encode(), headers, "text/plain; charset=utf-8", keep)
+    return plain_response(status, f"{text}\n".encode(), headers, "text/plain; charset=utf-8", keep)
 
 
 class EdgeSink(ConnectionSink):
@@ -29,7 +29,7 @@
 
     __slots__ = ("_head", "final_kind", "keep", "request")
 
-    def __init__(self, connection: Connection, request: Request) -> None:
+    def __init__(self, connection: Connection, request: HttpRequest) -> None:
         super().__init__(connection)
         self.request = request
         self.keep = request.head.keep_alive
@@ -38,7 +38,7 @@
 
     def begin(self) -> None:
         """Begin a streamed answer; its head is sent with the first event."""
-        self.keep = self.keep and not self.connection.last and self.request.head.chunks
+        self.keep = self.keep and not self.connection.closes_after_response and self.request.head.chunks
         fields = [("Content-Type", "text/event-stream"), *(() if self.keep else (("Connection", "close"),))]
         head = writer.streamed if self.request.head.chunks else writer.response_until_close
         self._head = head(200, fields)
@@ -71,6 +71,6 @@
 
     def respond(self, status: int, text: str, headers: tuple[tuple[str, str], ...] = ()) -> bool:
         """Send a complete answer; returns whether the connection may be kept open."""
-        self.keep = self.keep and not self.connection.last
-        self.connection.write(plain_response(status, text, headers, self.keep))
+        self.keep = self.keep and not self.connection.closes_after_response
+        self.connection.write(text_response(status, text, headers, self.keep))
         return self.keep
