--- a/stonetrack/capture/explain.py
+++ b/stonetrack/capture/explain.py
@@ -1,13 +1,13 @@
-"""Why a router decided as it did: what it knew, each candidate's scores, the exceptions that acted.
+"""Why a router decided as it did: what it knew, the scores of each candidate, the exceptions that acted.
 
-Theory.  The module keeps no record of its reasons, and must not: it is on the hot path.  But it is pure, so that a
-replay of a capture comes by the same reasons again.  :func:`traced` makes a subclass of any revision's ``Router`` whose
-choices are watched from outside: each hook asks the parent's own helpers (which only read) what they see, lets the
-parent decide, and notes both.  A hook never changes a decision (a test replays with and without), and a hook for a
-helper that a revision does not have is left out, so that old revisions are explained as far as they agree in names.
+logic.py keeps no record of its reasons, since it is on the hot path.  But its decisions depend on its events alone, so
+the replay of a capture gives the same reasons again.  :func:`traced` makes a subclass of any revision's ``Router`` with
+hooks around its choices: each hook calls helpers of the parent, which only read, lets the parent decide, and records
+both.  A hook never changes a decision (a test replays with and without hooks).  A hook for a method that a revision
+does not have is omitted, so an old revision is explained as far as its names are known (``revision.OLDER_METHODS``).
 
-Invariant: nothing is stored on the router; snapshots of a traced router are those of a plain one.
-Cost: each choice is looked at about twice; only for replays.
+Invariant: nothing is stored on the router, so snapshots of a traced router are those of a plain one.
+Cost: each choice is computed about twice; for replays only.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """One server as the choice saw it; None where this choice does not look at it."""
+    """One server as the choice saw it; a value is None where the choice does not use it."""
 
     name: str
     role: str
-    out: str = ""  # why it did not stand to choice; empty where it did
+    out: str = ""  # why it was not eligible; empty where it was
     score: float | None = None  # weighted sum, 0 to 1
-    covered: int | None = None  # tokens of the prompt that its table should hold
-    load: float | None = None  # readers: tokens to read; writers: streams; by weight
-    memory: float | None = None  # share used as reported
-    expected: float | None = None  # time to the first token as a share of the aim
+    covered: int | None = None  # tokens of the prompt that its cache should hold
+    load: float | None = None  # tokens to prefill, or streams to decode, by weight
+    memory: float | None = None  # reported share in use
+    expected: float | None = None  # time to the first token as a share of the latency target
     report_age: int | None = None  # nanoseconds since its last report
     chosen: bool = False
 
 
 @dataclass(slots=True)
 class Choice:
-    """One choice of a reader or a writer."""
+    """One choice of a prefill or a decode engine."""
 
     what: str  # "reader" or "writer"
     request: str
@@ -51,9 +51,9 @@
 
 @dataclass(slots=True)
 class Note:
-    """Anything else that was decided, in words."""
+    """Any other decision, in words."""
 
-    what: str  # give up, call off, left out, paused, released, admitted
+    what: str  # refused or failed, cancelled, late, ejected, ejection, not explained
     request: str
     at: int
     text: str
@@ -62,13 +62,14 @@
 Reason = Choice | Note
 
 
-class _Watch:
-    """What is being chosen now, between a hook's beginning and end."""
+class _Trace:
+    """State of the choice between the beginning and the end of a hook."""
 
     def __init__(self) -> None:
         self.reasons: list[Reason] = []
-        self.bests: list[tuple[dict[str, float], dict[str, int]]] = []  # of each look: scores and covered, by who stood
-        self.usable: list[str] = []  # who stood at the last look
+        # Of each comparison: scores and cached tokens by server.
+        self.rounds: list[tuple[dict[str, float], dict[str, int]]] = []
+        self.eligible: list[str] = []  # at the last check
 
 
 def _age(router: Any, server: Any) -> int | None:
@@ -76,76 +77,78 @@
 
 
 def _out_because(router: Any, server: Any, request: Any) -> str:
-    """Why a server may not be chosen, in the module's order; empty where nothing speaks against it."""
+    """Why a server may not be chosen, checked in the order of logic.py."""
     if server.state is not server.state.UP:
         return str(server.state.value)
     for key, of in ((-1, "all classes"), (request.class_index, "this class")):
-        if (pause := server.ejections.get(key)) is not None and pause.until > router.now:
-            return f"left out for {of}, {(pause.until - router.now) / MS:.0f} ms more"
+        if (ejection := server.ejections.get(key)) is not None and ejection.until > router.now:
+            return f"ejected for {of}, {(ejection.until - router.now) / MS:.0f} ms more"
     if not router._may_repeat(request, server):
         return "a repeat could have a second effect there"
     if server.name in request.failed_servers:
         return "failed for this request already"
     if server.slow_start_until > router.now:
-        return f"cold for {(server.slow_start_until - router.now) / MS:.0f} ms more, the request is not of its share"
-    return "others are preferred: served this class of late, or cold and of its share"
+        return (
+            f"slow start for {(server.slow_start_until - router.now) / MS:.0f} ms more, the request is not in its share"
+        )
+    return "others are preferred: they served this class recently, or their slow-start share has the request"
 
 
-def _reader_choice(router: Any, request: Any, watch: _Watch, chosen: Any) -> Choice:
+def _prefill_choice(router: Any, request: Any, trace: _Trace, chosen: Any) -> Choice:
     servers = [s for s in router.servers.values() if s.role is not s.role.WRITER or router.settings.writers_read]
-    scores, covered = watch.bests[0] if watch.bests else ({}, {})  # who stands at a second look stood at the first
-    known = hasattr(router, "_expected_decode_wait")
-    wait = router._expected_decode_wait() + router.now - request.arrived_at if known else 0.0
+    scores, covered = trace.rounds[0] if trace.rounds else ({}, {})  # servers of a second comparison were in the first
+    has_wait = hasattr(router, "_expected_decode_wait")
+    wait = router._expected_decode_wait() + router.now - request.arrived_at if has_wait else 0.0
     found = []
     for s in servers:
-        one = Candidate(s.name, s.role.value, report_age=_age(router, s), chosen=chosen is s)
+        candidate = Candidate(s.name, s.role.value, report_age=_age(router, s), chosen=chosen is s)
         if s.name in scores:
-            one.score, one.covered = scores[s.name], covered[s.name]
-            one.load = router._prefill_load(s)
-            one.memory = s.report.memory_share if s.report is not None else None
+            candidate.score, candidate.covered = scores[s.name], covered[s.name]
+            candidate.load = router._prefill_load(s)
+            candidate.memory = s.report.memory_share if s.report is not None else None
             work = s.pending_tokens + max(request.prompt_tokens - covered[s.name], 16)
-            one.expected = (wait + router._expected_prefill_time(s, work)) / request.capped_target()
+            candidate.expected = (wait + router._expected_prefill_time(s, work)) / request.capped_target()
         else:
-            one.out = _out_because(router, s, request)
-        found.append(one)
+            candidate.out = _out_because(router, s, request)
+        found.append(candidate)
     exceptions = []
-    if len(watch.bests) > 1 and len(watch.bests[1][0]) < len(scores):
-        exceptions.append("pile-up: readers whose queue takes much of the aim do not compete")
-    if watch.bests and not any(watch.bests[-1][1].values()):
-        exceptions.append("unknown key: near scores are a tie for the hash of the key")
+    if len(trace.rounds) > 1 and len(trace.rounds[1][0]) < len(scores):
+        exceptions.append("pile-up: prefill engines whose queue takes much of the latency target do not compete")
+    if trace.rounds and not any(trace.rounds[-1][1].values()):
+        exceptions.append("unknown key: similar scores tie, and the hash of the key decides")
     return Choice("reader", request.name, router.now, chosen.name if chosen else "", found, exceptions)
 
 
-def _writer_choice(router: Any, request: Any, cell: int | None, watch: _Watch, chosen: Any) -> Choice:
-    stood = set(watch.usable)
+def _decode_choice(router: Any, request: Any, cell: int | None, trace: _Trace, chosen: Any) -> Choice:
+    eligible = set(trace.eligible)
     exceptions, found = [], []
     waiting = []
     for s in router.servers.values():
         if s.role is s.role.READER:
             continue
-        one = Candidate(s.name, s.role.value, report_age=_age(router, s), chosen=chosen is s)
-        one.load = router._decode_load(s)
-        one.memory = s.report.memory_share if s.report is not None else None
-        if s.name not in stood:
-            one.out = _out_because(router, s, request)
+        candidate = Candidate(s.name, s.role.value, report_age=_age(router, s), chosen=chosen is s)
+        candidate.load = router._decode_load(s)
+        candidate.memory = s.report.memory_share if s.report is not None else None
+        if s.name not in eligible:
+            candidate.out = _out_because(router, s, request)
         elif s.unanswered and router.now - min(s.unanswered.values()) > 200 * MS:
             waiting.append(s.name)
-        found.append(one)
+        found.append(candidate)
     if waiting:
-        exceptions.append(f"full memory: own requests wait at {', '.join(waiting)}")
+        exceptions.append(f"full memory: requests of this node wait at {', '.join(waiting)}")
     if chosen is not None and cell is not None and chosen.cell != cell:
         exceptions.append(f"another cell: {chosen.cell} for {cell} (lopsided, or well above the mean)")
     return Choice("writer", request.name, router.now, chosen.name if chosen else "", found, exceptions)
 
 
 def traced(cls: type) -> tuple[type, list[Reason]]:
-    """A subclass that decides as ``cls`` does, and the list to which it adds its reasons."""
-    watch = _Watch()
-    reasons = watch.reasons
+    """A subclass that decides as ``cls`` does, and the list that it appends its reasons to."""
+    trace = _Trace()
+    reasons = trace.reasons
     parent: Any = cls
 
     def add(self: Any, request: str, make: Callable[[], Reason]) -> None:
-        """Note a reason; another revision may hold other fields, and is then explained by its outcome alone."""
+        """Append a reason; a revision with other fields is explained by its decisions alone."""
         try:
             reasons.append(make())
         except (AttributeError, KeyError, TypeError) as error:
@@ -154,68 +157,77 @@
     def note(self: Any, what: str, request: str, text: Callable[[], str]) -> None:
         add(self, request, lambda: Note(what, request, self.now, text()))
 
-    def choose_reader(self: Any, request: Any) -> Any:
-        watch.bests.clear()
+    def choose_prefill(self: Any, request: Any) -> Any:
+        trace.rounds.clear()
         chosen = parent._choose_prefill(self, request)
-        add(self, request.name, lambda: _reader_choice(self, request, watch, chosen))
+        add(self, request.name, lambda: _prefill_choice(self, request, trace, chosen))
         return chosen
 
-    def best_reader(self: Any, request: Any, servers: Any, scores: Any, covered: Any) -> Any:
+    def best_prefill(self: Any, request: Any, servers: Any, scores: Any, covered: Any) -> Any:
         chosen = parent._best_prefill(self, request, servers, scores, covered)
         looked = [s.name for s in servers]
-        watch.bests.append(({n: scores[n] for n in looked}, {n: covered[n] for n in looked}))
+        trace.rounds.append(({n: scores[n] for n in looked}, {n: covered[n] for n in looked}))
         return chosen
 
-    def choose_writer(self: Any, request: Any, cell: Any) -> Any:
-        watch.usable.clear()
+    def choose_decode(self: Any, request: Any, cell: Any) -> Any:
+        trace.eligible.clear()
         chosen = parent._choose_decode(self, request, cell)
-        add(self, request.name, lambda: _writer_choice(self, request, cell, watch, chosen))
+        add(self, request.name, lambda: _decode_choice(self, request, cell, trace, chosen))
         return chosen
 
-    def usable(self: Any, servers: Any, request: Any) -> Any:
-        group = parent._eligible(self, servers, request)
-        watch.usable[:] = [s.name for s in group]
-        return group
+    def eligible(self: Any, servers: Any, request: Any) -> Any:
+        found = parent._eligible(self, servers, request)
+        trace.eligible[:] = [s.name for s in found]
+        return found
 
-    def give_up(self: Any, request: Any) -> Any:
+    def refuse_or_fail(self: Any, request: Any) -> Any:
         def text() -> str:
             left = (request.deadline - self.now) / MS
-            late = f", the answer expected at {request.expected_share:.2f} of the aim" if request.expected_share else ""
+            late = (
+                f", the answer expected at {request.expected_share:.2f} of the latency target"
+                if request.expected_share
+                else ""
+            )
             return f"{request.attempts} of {self.settings.max_attempts} attempts used, {left:.0f} ms left{late}"
 
-        note(self, "give up", request.name, text)
+        note(self, "refused or failed", request.name, text)
         return parent._refuse_or_fail(self, request)
 
-    def call_off(self: Any, request: Any, server: Any) -> Any:
+    def cancel_late(self: Any, request: Any, server: Any) -> Any:
         before = len(self.actions)
         result = parent._cancel_late(self, request, server)
         done = any(type(a).__name__ == "Cancel" for a in self.actions[before:])
-        what = "call off" if done else "late, waited for"
+        what = "cancelled" if done else "late, waited for"
         out = (self.now - request.sent_at) / MS
-        note(self, what, request.name, lambda: f"{out:.0f} ms out at {server.name}; credit {self.cancel_budget:.1f}")
+        note(
+            self,
+            what,
+            request.name,
+            lambda: f"{out:.0f} ms out at {server.name}; cancellation budget {self.cancel_budget:.1f}",
+        )
         return result
 
     def eject(self: Any, server: Any, *reason: Any) -> Any:
         before = len(self.actions)
         result = parent._eject(self, server, *reason)
         done = len(self.actions) > before
-        note(self, "left out" if done else "kept in", "", lambda: f"{server.name}: {' '.join(map(str, reason))}")
+        note(self, "ejected" if done else "not ejected", "", lambda: f"{server.name}: {' '.join(map(str, reason))}")
         return result
 
-    def pause(self: Any, server: Any, key: Any) -> Any:
+    def start_ejection(self: Any, server: Any, key: Any) -> Any:
         result = parent._start_ejection(self, server, key)
 
         def text() -> str:
-            whom = "all classes" if key < 0 else f"class {key}"
-            return f"{server.name} for {whom}, {server.ejections[key].duration / MS:.0f} ms"
+            classes = "all classes" if key < 0 else f"class {key}"
+            return f"{server.name} for {classes}, {server.ejections[key].duration / MS:.0f} ms"
 
-        note(self, "paused", "", text)
+        note(self, "ejection", "", text)
         return result
 
     hooks: dict[str, Callable[..., Any]] = {
-        "_choose_prefill": choose_reader, "_best_prefill": best_reader, "_choose_decode": choose_writer,
-        "_eligible": usable, "_refuse_or_fail": give_up, "_cancel_late": call_off, "_eject": eject,
-        "_start_ejection": pause,
+        "_choose_prefill": choose_prefill, "_best_prefill": best_prefill, "_choose_decode": choose_decode,
+        "_eligible": eligible, "_refuse_or_fail": refuse_or_fail, "_cancel_late": cancel_late, "_eject": eject,
+        "_start_ejection": start_ejection,
     }  # fmt: skip
     older = OLDER_METHODS["Router"]
     needed = {"_choose_prefill": ("_prefill_load", "_expected_prefill_time", "_best_prefill", "_may_repeat")}
@@ -227,7 +239,7 @@
     return type(f"Traced{cls.__name__}", (cls,), body), reasons
 
 
-# Words for people.
+# Output as text.
 
 
 def _number(value: float | None, form: str = "{:.2f}") -> str:
@@ -235,16 +247,16 @@
 
 
 def table(choice: Choice) -> Iterator[str]:
-    """A choice as lines: its candidates by score, the chosen one marked, those left out with the reason."""
+    """A choice as lines: candidates by score, the chosen one marked, then servers not eligible with the reason."""
     yield f"{choice.what}: {choice.chosen or 'none'}"
     for text in choice.exceptions:
         yield f"  exception  {text}"
-    stood = sorted(
+    eligible = sorted(
         (c for c in choice.candidates if not c.out), key=lambda c: (-(c.score or 0.0), c.load or 0.0, c.name)
     )
-    if stood:
+    if eligible:
         yield f"    {'server':<16}{'score':>7}{'prefix':>9}{'load':>9}{'memory':>8}{'expected':>10}{'report':>10}"
-    for c in stood:
+    for c in eligible:
         age = "never" if c.report_age is None else f"{c.report_age / MS:.0f} ms"
         yield (
             f"  {'>' if c.chosen else ' '} {c.name:<16}{_number(c.score, '{:.3f}'):>7}{_number(c.covered, '{:.0f}'):>9}"
--- a/stonetrack/capture/revision.py
+++ b/stonetrack/capture/revision.py
@@ -1,10 +1,10 @@
-"""The module as it stands in another revision, beside the one that runs.
+"""The decision module of another revision, loaded beside the running one.
 
-A revision's ``logic.py`` and ``api.py`` are taken from git and run in modules of their own.  Where its ``api.py``
-has the same fields as ours, its router takes our events as they are; where not, events and actions are translated by
-the names of their fields, and what it does not know of is left out.
+A revision's ``logic.py`` and ``api.py`` are read from git and executed as separate modules.  Where its ``api.py`` has
+the same fields as the running one, its router takes our events as they are; otherwise events and actions are translated
+by the names of their fields, and fields that it does not have are omitted.
 
-Must never touch: the working tree, or the modules that are loaded already.
+Must not depend on or change: the working tree, modules that are loaded already.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 
 
 class RevisionError(CaptureError):
-    """A revision whose module can't be had; the text says why."""
+    """A revision whose module can't be loaded; the text gives the reason."""
 
 
 class Handles(Protocol):
-    """What a replay needs of a router, of whichever revision."""
+    """Interface of a router of any revision, as a replay uses it."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event; the actions to carry out."""
+        """Take one event; returns the actions to carry out."""
 
 
 Make = Callable[[api.Settings, int], Handles]
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Module:
-    """One revision's decisions.  ``native`` says that its router takes our types as they are."""
+    """The decision module of a revision.  ``native``: its router takes our types without translation."""
 
     name: str
     logic: types.ModuleType
@@ -61,7 +61,7 @@
     native: bool
 
     def make(self, settings: api.Settings, seed: int, cls: type | None = None) -> Handles:
-        """A router of this revision (or of a subclass of its ``Router``) that takes and gives our types."""
+        """A router of this revision (or of a subclass of its ``Router``) that takes and returns our types."""
         made = cls or self.logic.Router
         if self.native:
             return made(settings, seed)  # type: ignore[no-any-return]
@@ -69,18 +69,18 @@
 
 
 class _Foreign:
-    """A router of another interface, spoken to in ours."""
+    """A router with another interface, behind a translation from ours."""
 
     def __init__(self, router: Any, its: types.ModuleType) -> None:
         self.router, self._api = router, its
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """See :class:`Handles`."""
+        """As :meth:`Handles.handle`, with events and actions translated."""
         return [translate(action, api) for action in self.router.handle(now, translate(event, self._api))]
 
 
 def translate(thing: Any, to: types.ModuleType) -> Any:
-    """The same value in another ``api`` module's types.  Raises RevisionError for a type that it lacks."""
+    """The same value in the types of another ``api`` module.  Raises RevisionError for a type that it lacks."""
     if isinstance(thing, tuple):
         return tuple(translate(each, to) for each in thing)
     if not isinstance(thing, Enum) and not dataclasses.is_dataclass(thing):
@@ -99,7 +99,7 @@
 
 
 def _fields(module: Any) -> dict[str, Any]:
-    """What of an interface matters to a caller: its types, their fields in order, the values of its enums."""
+    """What a caller depends on in an interface: its types, their fields in order, the values of its enums."""
     found: dict[str, Any] = {}
     for name, cls in vars(module).items():
         if dataclasses.is_dataclass(cls):
@@ -110,20 +110,20 @@
 
 
 def _run(name: str, text: str, known: dict[str, Any]) -> types.ModuleType:
-    """Run a file's text as a module; ``from stonetrack import api`` and the like find ``known``."""
+    """Execute a file's text as a module, where imports from ``stonetrack`` resolve to ``known``."""
     module = types.ModuleType(name)
     package = types.ModuleType("stonetrack")
     vars(package).update(known)
 
-    def take(what: str, globals_: Any = None, locals_: Any = None, wanted: Any = (), level: int = 0) -> Any:
+    def import_(what: str, globals_: Any = None, locals_: Any = None, wanted: Any = (), level: int = 0) -> Any:
         if what == "stonetrack":
             return package
         if what.startswith("stonetrack."):
             return known[what.removeprefix("stonetrack.")]
         return builtins.__import__(what, globals_, locals_, wanted, level)
 
-    vars(module)["__builtins__"] = {**vars(builtins), "__import__": take}
-    sys.modules[name] = module  # dataclasses look their module up by name
+    vars(module)["__builtins__"] = {**vars(builtins), "__import__": import_}
+    sys.modules[name] = module  # dataclasses look up their module by name
     try:
         exec(compile(text, f"<{name}>", "exec"), vars(module))
     except Exception as error:
@@ -156,11 +156,11 @@
         return getattr(router, attributes[name])
 
     if isinstance(cls := getattr(module, "Router", None), type):
-        setattr(cls, "__getattr__", missing)  # noqa: B010  # __init__ sets a router's attributes: the class has none
+        setattr(cls, "__getattr__", missing)  # noqa: B010  # not properties: a router's attributes are its instance's
 
 
 def from_texts(name: str, logic_text: str, api_text: str) -> Module:
-    """A module of the texts of its two files.  Raises RevisionError."""
+    """A module from the texts of its two files.  Raises RevisionError."""
     label = "stonetrack_at_" + "".join(c if c.isalnum() else "_" for c in name)
     theirs = _run(f"{label}_api", api_text, {})
     native = _fields(theirs) == _fields(api)
@@ -171,7 +171,7 @@
 
 
 def current() -> Module:
-    """The module that runs."""
+    """The running module."""
     return Module("now", logic, api, True)
 
 
@@ -186,7 +186,7 @@
 
 
 def load(name: str, root: Path = ROOT) -> Module:
-    """The module of a revision (any name that git knows), or of a folder that holds ``logic.py`` and ``api.py``.
+    """The module of a revision (any name that git resolves), or of a folder with ``logic.py`` and ``api.py``.
 
     Raises RevisionError.
     """
--- a/stonetrack/capture/snapshot.py
+++ b/stonetrack/capture/snapshot.py
@@ -1,10 +1,10 @@
-"""What a ``Router`` holds, as plain values and back, without changing a decision.
+"""State of a ``Router`` as plain values and back, without changing a decision.
 
-Every field of the router and of the module's classes is kept, by name; one that the module gains (or loses) makes
-:func:`take` fail, and a test with it, so that no snapshot lacks it silently.  Order of dictionaries, whole numbers and
-floats come back as they were: the router made by :func:`restore` decides as the first would have.
+Every field of the router and of the classes of logic.py is kept, by its stored name; a field that logic.py gains or
+loses makes :func:`take` fail, and a test with it, so no snapshot lacks a field silently.  Order of dictionaries, integers
+and floats are restored exactly: the router made by :func:`restore` decides as the first would have.
 
-Cost: proportional to what the tables hold; a router is not touched by others while it is taken.
+Cost: proportional to the size of the tables; nothing else may use the router meanwhile.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
     "arrived_at", "held_back", "credit", "latency", "prompt_work", "allowance", "flow", "subscribe_at", "timer_set",
 )  # fmt: skip
 TABLE = ("limit", "blocks", "entries")
-OURS = ("Stat", "Pause", "Server", "Request")  # of logic
-# Stored names that differ from the names in logic.py: of classes, and of their attributes.  Revision 020f764 and
-# those before it have the stored names in logic.py too.
+OURS = ("Stat", "Pause", "Server", "Request")  # classes of logic.py
+# Stored names that differ from the names in logic.py, of classes and of their attributes.  In revision 020f764 and
+# earlier ones logic.py has the stored names.
 CLASS_NAMES = {"Stat": "RunningStats", "Pause": "Ejection"}
 ATTRIBUTE_NAMES: dict[str, dict[str, str]] = {
     "Router": {
@@ -70,11 +70,11 @@
 ENUMS: dict[str, type[Enum]] = {
     cls.__name__: cls for cls in (api.Role, api.ServerState, api.Effect, api.Scope, logic.Phase)
 }
-_APART = ("settings", "actions", "pools", "by_probe")  # kept otherwise, or made from settings
+_APART = ("settings", "actions", "pools", "by_probe")  # stored apart, or derived from the settings
 
 
 class SnapshotError(CaptureError):
-    """A router that this code does not know whole, or a snapshot of another one."""
+    """A router with unknown fields, or a snapshot that does not fit this version."""
 
 
 def by_stored_name(cls: str, names: Iterable[str]) -> dict[str, str]:
@@ -109,35 +109,35 @@
     raise SnapshotError(f"a {kind.__name__}, which snapshots do not know")
 
 
-class _Maker:
-    """Makes values of one revision's types.  Raises SnapshotError where it has other fields."""
+class _Factory:
+    """Makes values of one revision's types.  Raises SnapshotError where its fields differ."""
 
     def __init__(self, module: Mapping[str, Any]) -> None:
-        ours = {name: module.get(CLASS_NAMES.get(name, name), module.get(name)) for name in OURS}
-        self._classes = {**CLASSES, **ours}
+        own = {name: module.get(CLASS_NAMES.get(name, name), module.get(name)) for name in OURS}
+        self._classes = {**CLASSES, **own}
         self._enums = {**ENUMS, "Phase": module.get("Phase", ENUMS["Phase"])}
         self._table = module.get("PrefixTable")
 
-    def made(self, value: Any) -> Any:
-        """The value of its plain form."""
+    def make(self, value: Any) -> Any:
+        """The value for a plain form."""
         if not isinstance(value, list):
             return value
         match value:
             case ["e", name, inner]:
                 return self._enums[name](inner)
             case ["t", *inner]:
-                return tuple(map(self.made, inner))
+                return tuple(map(self.make, inner))
             case ["d", *pairs]:
-                return {self.made(k): self.made(v) for k, v in pairs}
+                return {self.make(k): self.make(v) for k, v in pairs}
             case ["o", *pairs]:
-                return OrderedDict((self.made(k), self.made(v)) for k, v in pairs)
+                return OrderedDict((self.make(k), self.make(v)) for k, v in pairs)
             case ["p", *inner] if self._table is not None:
                 table = self._table(0)
                 names = by_stored_name("PrefixTable", vars(table))
                 if set(names) != set(TABLE):
                     raise SnapshotError(f"its prefix table holds {sorted(names)}, not {sorted(TABLE)}")
                 for name, each in zip(TABLE, inner, strict=True):
-                    setattr(table, names[name], self.made(each))
+                    setattr(table, names[name], self.make(each))
                 return table
             case ["c", name, *inner] if self._classes.get(name) is not None:
                 return self._object(name, inner)
@@ -151,11 +151,11 @@
             raise SnapshotError(f"{name} has other fields in that revision")
         if len(names) != len(inner):
             raise SnapshotError(f"{name}: {len(inner)} fields; this version knows {len(names)}")
-        return cls(**{n: self.made(v) for n, v in zip(names.values(), inner, strict=True)})
+        return cls(**{n: self.make(v) for n, v in zip(names.values(), inner, strict=True)})
 
 
 def take(router: logic.Router) -> bytes:
-    """All that the router holds.  Raises SnapshotError where it holds something unknown."""
+    """The state of a router.  Raises SnapshotError where it has a field or value of unknown kind."""
     _check(router)
     names = by_stored_name("Router", vars(router))
     state = {name: _plain(getattr(router, names[name])) for name in ROUTER if name not in _APART}
@@ -164,7 +164,7 @@
 
 
 def restore(data: bytes, cls: type | None = None, module: Any = logic) -> logic.Router:
-    """The router of a snapshot; of a subclass, or of another revision's module, if given.  Raises SnapshotError."""
+    """The router of a snapshot: of class ``cls`` or of ``module``'s, of any revision.  Raises SnapshotError."""
     try:
         form, settings, pools, state = msgspec.msgpack.decode(data)
         if form != FORMAT:
@@ -174,10 +174,10 @@
         if set(state) | set(_APART) != set(ROUTER):
             raise SnapshotError(f"it holds {sorted(state)}, not what this version's router does")
         _check(router)
-        maker = _Maker(router_class.__init__.__globals__)  # a traced subclass has its parent's
+        factory = _Factory(router_class.__init__.__globals__)  # of a traced subclass: those of its parent's module
         attributes = by_stored_name("Router", vars(router))
         for name, value in state.items():
-            setattr(router, attributes[name], maker.made(value))
+            setattr(router, attributes[name], factory.make(value))
         for role, names in pools.items():
             router.pools[api.Role(role)][:] = [router.servers[name] for name in names]
     except SnapshotError:
--- a/tests/test_replaying.py
+++ b/tests/test_replaying.py
@@ -41,7 +41,7 @@
         assert tuple(watched.handle(call.at, call.event)) == call.actions
         plain.handle(call.at, call.event)
     assert snapshot.take(watched) == snapshot.take(plain)
-    assert {r.what for r in reasons} >= {"reader", "writer", "paused", "left out"}
+    assert {r.what for r in reasons} >= {"reader", "writer", "ejection", "ejected"}
     assert not any(r.what == "not explained" for r in reasons)
 
 
@@ -227,7 +227,14 @@
             cls, reasons = explain.traced(module.logic.Router)
             records: list[Record] = [beginning, *made[300 if isinstance(beginning, State) else 0 :]]
             assert run(enumerate(records), partial(module.make, cls=cls), restore_class=cls).same
-            assert {r.what for r in reasons} >= {"reader", "writer", "paused", "left out", "give up", "call off"}
+            assert {r.what for r in reasons} >= {
+                "reader",
+                "writer",
+                "ejection",
+                "ejected",
+                "refused or failed",
+                "cancelled",
+            }
             assert not any(r.what == "not explained" for r in reasons)
             told.append(list(explain.lines(reasons)))
         assert told[0] == told[1]
