--- a/stonetrack/capture/snapshot.py
+++ b/stonetrack/capture/snapshot.py
@@ -1,8 +1,8 @@
 """State of a ``Router`` as plain values and back, without changing a decision.
 
 Every field of the router and of the classes of logic.py is kept, by its stored name; a field that logic.py gains or
-loses makes :func:`take` fail, and a test with it, so no snapshot lacks a field silently.  Order of dictionaries, integers
-and floats are restored exactly: the router made by :func:`restore` decides as the first would have.
+loses makes :func:`take` fail, and a test with it, so no snapshot lacks a field silently.  Order of dictionaries,
+integers and floats are restored exactly: the router made by :func:`restore` decides as the first would have.
 
 Cost: proportional to the size of the tables; nothing else may use the router meanwhile.
 """
--- a/stonetrack/simulator_adapter.py
+++ b/stonetrack/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""The simulator's wire on standard input and output, many routers in one process.
+"""Adapter from the simulator's line protocol, on standard input and output, to many routers in one process.
 
-Translation only: each instance is one :class:`stonetrack.logic.Router` of its own.
+It translates only: each instance is a separate :class:`stonetrack.logic.Router`.
 """
 
 from __future__ import annotations
@@ -51,10 +51,10 @@
 
 
 class WireError(ValueError):
-    """A line of the wire that can't be understood; the text names line and field."""
+    """A line that can't be parsed; the text names line and field."""
 
 
-def _need(fields: Fields, name: str) -> str:
+def _required(fields: Fields, name: str) -> str:
     try:
         return fields[name]
     except KeyError:
@@ -90,7 +90,7 @@
     return text in ("1", "true")
 
 
-def _word(table: dict[str, T], fields: Fields, name: str, default: T | None = None) -> T:
+def _enum_value(table: dict[str, T], fields: Fields, name: str, default: T | None = None) -> T:
     text = fields.get(name, "")
     if text == "" and default is not None:
         return default
@@ -99,22 +99,22 @@
     return table[text]
 
 
-def _items(fields: Fields, name: str) -> list[str]:
+def _list(fields: Fields, name: str) -> list[str]:
     text = fields.get(name, "")
     return text.split(",") if text else []
 
 
-def _at(items: list[str], index: int, name: str, default: float) -> float:
+def _item_or_last(items: list[str], index: int, name: str, default: float) -> float:
     if not items:
         return default
     return _float({name: items[min(index, len(items) - 1)]}, name, default)
 
 
 def parse_settings(pairs: Fields) -> api.Settings:
-    """Settings from the wire's path=value pairs; unknown paths are passed over."""
-    per_1000 = _items(pairs, "family_info.aim_us_per_1000_prompt_tokens")
-    token_aims = _items(pairs, "family_info.token_aim_ns")
-    memory = _items(pairs, "family_info.kv_tokens")
+    """Settings from path=value pairs; unknown paths are ignored."""
+    per_1000 = _list(pairs, "family_info.aim_us_per_1000_prompt_tokens")
+    token_aims = _list(pairs, "family_info.token_aim_ns")
+    memory = _list(pairs, "family_info.kv_tokens")
     classes = []
     for n in range(_int(pairs, "request_classes.count", 0)):
         at = f"request_classes.{n}."
@@ -122,22 +122,24 @@
             api.RequestClass(
                 name=pairs.get(at + "name", str(n)),
                 first_token_aim=_int(pairs, at + "aim_ns"),
-                aim_per_1000_tokens=int(_at(per_1000, n, "family_info.aim_us_per_1000_prompt_tokens", 0) * 1000),
-                token_aim=int(_at(token_aims, n, "family_info.token_aim_ns", 0)),
+                aim_per_1000_tokens=int(
+                    _item_or_last(per_1000, n, "family_info.aim_us_per_1000_prompt_tokens", 0) * 1000
+                ),
+                token_aim=int(_item_or_last(token_aims, n, "family_info.token_aim_ns", 0)),
                 deadline=_int(pairs, at + "hard_limit_ns"),
                 worth=_float(pairs, at + "worth", 1.0),
                 late_worth=_float(pairs, at + "late_worth", 0.0),
-                effect=_word(_EFFECTS, pairs, at + "semantics", api.Effect.SAFE),
-                scope=_word(_SCOPES, pairs, at + "dedup_scope", api.Scope.ALL),
+                effect=_enum_value(_EFFECTS, pairs, at + "semantics", api.Effect.SAFE),
+                scope=_enum_value(_SCOPES, pairs, at + "dedup_scope", api.Scope.ALL),
                 key_window=_int(pairs, at + "key_ttl_ns", 0),
             )
         )
     kinds = []
-    for n, role in enumerate(_items(pairs, "family_info.role_by_kind")):
+    for n, role in enumerate(_list(pairs, "family_info.role_by_kind")):
         kinds.append(
             api.Kind(
-                role=_word(_ROLES, {"family_info.role_by_kind": role}, "family_info.role_by_kind"),
-                memory_tokens=int(_at(memory, n, "family_info.kv_tokens", 0)),
+                role=_enum_value(_ROLES, {"family_info.role_by_kind": role}, "family_info.role_by_kind"),
+                memory_tokens=int(_item_or_last(memory, n, "family_info.kv_tokens", 0)),
             )
         )
     tenants = [
@@ -162,7 +164,7 @@
         may_advise_retry=_flag(pairs, "bounds.retry_after"),
         max_retry_after=_int(pairs, "bounds.max_retry_after_ns", 0),
         writers_read=_flag(pairs, "family_info.writers_read"),
-        report_source=_word(_SOURCES, pairs, "report.source", api.ReportSource.NONE),
+        report_source=_enum_value(_SOURCES, pairs, "report.source", api.ReportSource.NONE),
         list_on_request=pairs.get("discovery") == "on_request",
         connect_timeout=_int(pairs, "bounds.connect_timeout_ns", 0),
         answer_slack=_int(pairs, "contract.grace_to_answer_ns", 0),
@@ -177,7 +179,7 @@
 
 
 def split_line(line: str) -> tuple[str, Fields]:
-    """The line's first word and its fields; a text field takes the rest of the line."""
+    """First word and fields of a line; a text field takes the rest of the line."""
     parts = line.split("\t")
     fields: Fields = {}
     for n, part in enumerate(parts[1:], 1):
@@ -193,7 +195,7 @@
 
 
 class Instance:
-    """One router with what is needed to read its events."""
+    """One router, and what is needed to parse its events."""
 
     def __init__(self, fields: Fields) -> None:
         self.report_x0 = fields.get("family_info.report_x0")
@@ -201,7 +203,7 @@
         self.router = Router(parse_settings(fields), _int(fields, "entropy", 0))
 
     def report(self, fields: Fields) -> api.LoadReport | None:
-        """The load report of an outcome or probe, in the interface's words."""
+        """The load report of an outcome or a probe; None where there is none."""
         text = fields.get("health_info", "")
         if not text:
             return None
@@ -220,11 +222,11 @@
         return api.LoadReport(values.get("inflight"), values.get("queue"), memory, waiting)
 
     def event(self, word: str, f: Fields) -> api.Event | None:
-        """The event of one line, or None for one the interface has no use for."""
+        """The event of one line, or None where the interface has no event for it."""
         if word == "KNOCK":
             flags = _int(f, "opts", 0)
             return api.RequestArrived(
-                request=_need(f, "call"),
+                request=_required(f, "call"),
                 class_index=_int(f, "cls", 0),
                 session=f.get("thread", ""),
                 time_left=_int(f, "patience_left_ns"),
@@ -237,12 +239,12 @@
                 repeated=bool(flags & 2),
             )
         if word == "RESULT":
-            outcome = _word(_OUTCOMES, f, "how")
+            outcome = _enum_value(_OUTCOMES, f, "how")
             note = _int(f, "note", 0)
             return api.AttemptEnded(
-                request=_need(f, "call"),
+                request=_required(f, "call"),
                 attempt=_int(f, "try", 0),
-                server=_need(f, "engine"),
+                server=_required(f, "engine"),
                 outcome=outcome,
                 elapsed=_int(f, "time_taken_ns", 0),
                 finished=_flag(f, "done_flag"),
@@ -251,20 +253,22 @@
                 report=self.report(f),
             )
         if word == "ACK_FIRST":
-            return api.FirstToken(_need(f, "call"), _int(f, "try", 0), _need(f, "engine"), _int(f, "time_taken_ns", 0))
+            return api.FirstToken(
+                _required(f, "call"), _int(f, "try", 0), _required(f, "engine"), _int(f, "time_taken_ns", 0)
+            )
         if word == "WAKEUP":
             return api.TimerFired(_int(f, "ctx"))
         if word == "GONE":
-            return api.RequestGone(_need(f, "call"))
+            return api.RequestGone(_required(f, "call"))
         if word == "PLACE_NOTE":
             what = _int(f, "what")
             if what not in (1, 2):
                 raise WireError(f"field what: unknown note {what}")
-            return api.PlaceAnswer(_need(f, "call"), _int(f, "try", 0), _need(f, "engine"), what == 1)
+            return api.PlaceAnswer(_required(f, "call"), _int(f, "try", 0), _required(f, "engine"), what == 1)
         if word == "SAMPLED":
             return api.ProbeEnded(
-                _need(f, "engine"),
-                _word(_OUTCOMES, f, "how"),
+                _required(f, "engine"),
+                _enum_value(_OUTCOMES, f, "how"),
                 _int(f, "time_taken_ns", 0),
                 self.report(f),
             )
@@ -274,20 +278,20 @@
 
 
 def parse_entry(f: Fields) -> api.ServerEntry:
-    """One line of a server list."""
+    """One entry of a server list."""
     return api.ServerEntry(
-        server=_need(f, "engine"),
+        server=_required(f, "engine"),
         zone=_int(f, "dc", 0),
         kind=_int(f, "hw", 0),
         cell=_int(f, "cell", 0),
-        state=_word(_STATES, f, "condition", api.ServerState.UP),
+        state=_enum_value(_STATES, f, "condition", api.ServerState.UP),
         weight=_float(f, "scale", 1.0),
         started=_int(f, "since_ns", 0),
     )
 
 
 def render(node: int, action: api.Action) -> str:
-    """One action as a line of the wire."""
+    """One action as a line of the protocol."""
     head = f"\tnode={node}"
     match action:
         case api.Send(request, server, limit):
@@ -329,7 +333,7 @@
             self.line_number += 1
             yield line.rstrip("\r\n")
 
-    def _guard(self, call: Callable[[], T]) -> T:
+    def _with_line_number(self, call: Callable[[], T]) -> T:
         try:
             return call()
         except WireError as error:
@@ -361,7 +365,7 @@
                 if entry_word != "ENTRY":
                     raise WireError(f"expected ENTRY, found {entry_word!r}")
                 entries.append(parse_entry(entry))
-            event = api.ServerList(_word(_LISTS, fields, "form"), _int(fields, "stamp", 0), tuple(entries))
+            event = api.ServerList(_enum_value(_LISTS, fields, "form"), _int(fields, "stamp", 0), tuple(entries))
         instance = self.instances.get(node)
         if instance is None:
             raise WireError(f"field node: instance {node} is not running")
@@ -375,17 +379,17 @@
             out.extend(render(node, action) for action in actions)
 
     def run(self, source: Iterable[str], sink: TextIO) -> int:
-        """Serve batches until the input ends; the process's exit code."""
+        """Serve batches until the input ends; returns the exit code of the process."""
         lines = self._lines(source)
         for line in lines:
             if not line:
                 continue
             try:
-                word, fields = self._guard(lambda text=line: split_line(text))  # type: ignore[misc]
+                word, fields = self._with_line_number(lambda text=line: split_line(text))  # type: ignore[misc]
                 if word != "BEGIN_BATCH":
                     raise WireError(f"line {self.line_number}: expected BEGIN_BATCH, found {word!r}")
-                now = self._guard(lambda f=fields: _int(f, "sim_time_ns"))  # type: ignore[misc]
-                turn = self._guard(lambda f=fields: _int(f, "turn"))  # type: ignore[misc]
+                now = self._with_line_number(lambda f=fields: _int(f, "sim_time_ns"))  # type: ignore[misc]
+                turn = self._with_line_number(lambda f=fields: _int(f, "turn"))  # type: ignore[misc]
             except WireError as error:
                 print(f"stonetrack: {error}", file=sys.stderr)
                 return 2
--- a/tests/test_cases.py
+++ b/tests/test_cases.py
@@ -1,4 +1,4 @@
-"""Cases: faults met once stay mended; and captures without names."""
+"""Cases: faults that were fixed stay fixed; and captures without names."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("path", CASES, ids=lambda p: p.stem)
-def test_a_fault_met_once_stays_mended(path: Path) -> None:
+def test_a_fixed_fault_stays_fixed(path: Path) -> None:
     made = case.decode(path.read_bytes())
     assert case.encode(made) == path.read_bytes()
     assert made.then != made.now and made.fixed_by and made.title and made.found
@@ -39,14 +39,14 @@
     assert len({case.decode(path.read_bytes()).fixed_by for path in CASES}) >= 5
 
 
-def test_a_module_that_has_the_fault_again_is_caught_by_its_case() -> None:
-    """Each fix taken out of the module as it is now: its case says that the fault is back."""
-    taken_out = {
+def test_a_case_catches_its_fault_in_the_present_module() -> None:
+    """Each fix is removed from the present logic.py, and its case reports the fault."""
+    removed = {
         "moving-queue": ("if progresses or not (", "if not ("),
         "cold-unused": ("return [s for s in eligible if s.slow_start_until > self.now] or eligible", "return eligible"),
         "late-answers": ("request.expected_share > admitted and", "False and"),
     }
-    for name, (line, without) in taken_out.items():
+    for name, (line, without) in removed.items():
         assert line in LOGIC
         module = revision.from_texts(name, LOGIC.replace(line, without), API)
         made = case.decode((Path(__file__).parent / "cases" / f"{name}.case").read_bytes())
@@ -81,7 +81,7 @@
     assert alike.returncode == 2 and "alike" in alike.stderr
 
 
-def test_taking_parts_out_keeps_what_is_needed_and_only_that() -> None:
+def test_removing_parts_keeps_what_is_needed_and_nothing_else() -> None:
     tried: list[list[int]] = []
 
     def holds(parts: list[int]) -> bool:
@@ -92,7 +92,7 @@
     assert case.smaller([1], lambda parts: True) == []
 
 
-def test_a_history_that_could_not_have_happened_is_told_from_one_that_could() -> None:
+def test_an_impossible_history_is_distinguished_from_a_possible_one() -> None:
     made = calls(200)
     events = [(call.at, call.event) for call in made]
     decided = [call.actions for call in made]
@@ -109,15 +109,15 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b"[1]\n[2]", b'{"format": 9}', b'{"format": 1}\n[1, ["Nothing"], []]'])
-def test_what_is_no_case_is_refused(data: bytes) -> None:
+def test_invalid_cases_are_refused(data: bytes) -> None:
     with pytest.raises(CaptureError):
         case.decode(data)
 
 
-# Names.
+# Captures without names.
 
 
-def test_without_names_a_capture_decides_as_before(tmp_path: Path) -> None:
+def test_a_capture_without_names_decides_as_before(tmp_path: Path) -> None:
     made = calls(600)
     header = Header("v", "i0.1", 1, replace(HEADER.settings, tenants=(api.Tenant("Suva Charging", 5.0),)))
     router = Router(header.settings, 1)
@@ -134,7 +134,7 @@
     assert list(redact.redact(records, b"other")) != changed
 
 
-def test_a_capture_that_leaves_the_house_holds_no_name_that_it_had(tmp_path: Path) -> None:
+def test_an_exported_capture_holds_none_of_its_names(tmp_path: Path) -> None:
     made = calls(600)
     write(tmp_path / "in", made)
     done = command("capture", "redact", str(tmp_path / "in"), str(tmp_path / "out"), "--rename", "--key", "secret")
@@ -159,7 +159,7 @@
     assert {row["router"] for row in rows} == {"i0.1"} and rows[0]["event"]["type"]
 
 
-def test_sessions_and_beginnings_are_hashed_with_a_key_that_nodes_agree_on() -> None:
+def test_sessions_and_shared_prefixes_are_hashed_with_a_key_that_nodes_share() -> None:
     one = parse(json.dumps(raw_settings("http://127.0.0.1:1/")))
     same = parse(json.dumps(raw_settings("http://127.0.0.1:2/")))
     other = parse(json.dumps(raw_settings("http://127.0.0.1:1/", hash_key="secret")))
--- a/tests/test_held_state.py
+++ b/tests/test_held_state.py
@@ -1,7 +1,7 @@
-"""What is held for a request is taken by an attempt that has arrived, or released in time: the incident of issue 43.
+"""A state held for a request is fetched by an attempt that has arrived, or released in time (issue 43).
 
-A send is not an arrival.  Only what an engine answers proves one; without that, the decision to release may not wait
-for the attempt's end.
+A send does not prove an arrival: only an engine's answer does.  Without one, the decision to release a state may not
+wait for the end of the attempt.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("settings", [HELD, UNSAFE], ids=["safe", "unsafe"])
 def test_a_state_behind_a_decode_attempt_without_an_answer_is_released(settings: api.Settings) -> None:
-    """The attempt stays out: one that has arrived has taken its state, and a release leaves that alone."""
+    """The attempt stays out: if it has arrived it has fetched its state, and a release leaves that alone."""
     bed = Bed(settings, FLEET)
     send = bed.read(only(bed.ask("q"), api.Send))
     got = bed.wait(BY_NOW)
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("outcome", [api.Outcome.FULL, api.Outcome.ERROR, api.Outcome.RESET])
 def test_a_state_that_a_release_left_alone_is_released_when_its_attempt_fails(outcome: api.Outcome) -> None:
-    """The attempt had arrived and waited for it, so the release passed it over; then it was turned away."""
+    """The attempt had arrived and waited for its state, so the release left it alone; then it was rejected."""
     bed = Bed(HELD, FLEET)
     send = bed.read(only(bed.ask("q"), api.Send))
     bed.wait(BY_NOW)
@@ -44,11 +44,11 @@
 
 @pytest.mark.parametrize("answer", [True, False, None])
 @pytest.mark.parametrize("settings", [HELD, UNSAFE], ids=["safe", "unsafe"])
-def test_no_reservation_stands_behind_a_prefill_attempt_without_an_answer(
+def test_no_reservation_is_held_behind_a_prefill_attempt_without_an_answer(
     settings: api.Settings, answer: bool | None
 ) -> None:
-    """What a decode engine answers says nothing of the prefill attempt elsewhere: what it holds is released in time, or
-    never asked for.  The attempt stays out: taking reads back was measured to cost far more than it saves."""
+    """The answer of a decode engine says nothing of the prefill attempt elsewhere: a reservation is released in time
+    or never made.  The attempt stays out: cancelling prefill attempts costs far more than it saves."""
     bed = Bed(settings, FLEET)
     bed.ask("q")
     asked = of(bed.actions, api.HoldPlace)
@@ -59,18 +59,18 @@
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.RESET, api.Outcome.CANCELLED, api.Outcome.TIMED_OUT])
-def test_an_end_that_proves_no_arrival_gives_a_state_no_new_time(outcome: api.Outcome) -> None:
+def test_an_end_that_proves_no_arrival_does_not_extend_the_time_of_a_state(outcome: api.Outcome) -> None:
     bed = Bed(HELD, FLEET)
     send = bed.read(only(bed.ask("q"), api.Send))
-    read_at = bed.now
+    prefilled_at = bed.now
     bed.end(send, outcome, 1, 200 * MS)
     while not of(bed.actions, api.Release):
         bed.wait(50 * MS)
-        assert bed.now - read_at <= BY_NOW, "it was given new time"
+        assert bed.now - prefilled_at <= BY_NOW, "the state was held for longer"
 
 
-def test_what_is_released_during_an_attempt_is_read_anew_with_two_attempts_left() -> None:
-    """Without its state a decode attempt that is called off needs two more: none is called off that can't have them."""
+def test_an_attempt_whose_state_was_released_is_cancelled_only_with_two_attempts_left() -> None:
+    """A decode attempt without its state that is cancelled needs two more: it is cancelled only where they are left."""
     bed = Bed(replace(HELD, max_attempts=3), FLEET)
     bed.read(only(bed.ask("q", left=20 * SECOND), api.Send))
     got = bed.wait(9 * SECOND)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules as properties, under random outcomes with fixed seeds."""
+"""The five invariants of the router as properties, under random outcomes with fixed seeds."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class World:
-    """Plays servers at random and checks every action against the rules."""
+    """Servers with random outcomes; each action is checked against the invariants."""
 
     def __init__(self, settings: api.Settings, fleet: tuple[api.ServerEntry, ...], seed: int) -> None:
         self.draw = random.Random(seed)
         self.settings = settings
         self.bed = Bed(settings, fleet)
         self.fleet = {e.server: e for e in fleet}
-        self.open: dict[str, int] = {}  # deadline of each request not answered
+        self.open: dict[str, int] = {}  # deadline of each request that is not answered
         self.answered: set[str] = set()
         self.tries: dict[str, int] = {}
-        self.out: dict[str, tuple[api.Send, int, int, int]] = {}  # send, attempt, sent, ends
-        self.held: dict[str, int] = {}  # what is held, since when
+        self.out: dict[str, tuple[api.Send, int, int, int]] = {}  # send, attempt number, sent at, ends at
+        self.held: dict[str, int] = {}  # held states and reservations, since when
         self.ran: dict[str, tuple[str, int]] = {}
         self.cls: dict[str, api.RequestClass] = {}
         self.streaming: set[str] = set()
@@ -37,15 +37,15 @@
     def now(self) -> int:
         return self.bed.now
 
-    def take(self, actions: list[api.Action]) -> None:
+    def check(self, actions: list[api.Action]) -> None:
         for action in actions:
             match action:
                 case api.Send(name, server, limit):
-                    assert name in self.open, "a send for a request that is over"
+                    assert name in self.open, "a send for a request that has ended"
                     assert name not in self.out, "two attempts out at once"
                     assert server not in self.drained, "a send to a draining server"
                     assert self.fleet[server].state is api.ServerState.UP
-                    self.effect_allows(name, server)
+                    self.check_repeat(name, server)
                     number = self.tries.get(name, 0)
                     assert number < self.settings.max_attempts
                     self.tries[name] = number + 1
@@ -59,12 +59,12 @@
                 case api.Release(name):
                     self.held.pop(name, None)
                 case api.Refuse(name):
-                    self.final(name)
+                    self.final_answer(name)
                     cls = self.cls[name]
                     if name in self.ran and cls.effect is not api.Effect.SAFE:
                         assert cls.effect is api.Effect.KEYED and cls.scope is api.Scope.ALL
                 case api.Fail(name):
-                    self.final(name)
+                    self.final_answer(name)
                 case api.Cancel(name, number):
                     assert self.settings.may_cancel
                     send, attempt, sent, _ = self.out[name]
@@ -73,13 +73,13 @@
                 case _:
                     pass
 
-    def final(self, name: str) -> None:
+    def final_answer(self, name: str) -> None:
         assert name in self.open and name not in self.answered, "a second final answer"
         assert name not in self.out or name not in self.streaming
         self.answered.add(name)
         del self.open[name]
 
-    def effect_allows(self, name: str, server: str) -> None:
+    def check_repeat(self, name: str, server: str) -> None:
         cls = self.cls[name]
         if name not in self.ran or cls.effect is api.Effect.SAFE:
             return
@@ -89,16 +89,16 @@
         if cls.scope is api.Scope.CELL:
             assert self.fleet[server].cell == self.fleet[first].cell
 
-    def outcome(self, name: str) -> None:
+    def end_attempt(self, name: str) -> None:
         send, number, sent, _ = self.out.pop(name)
-        reading = self.fleet[send.server].kind == 0
+        prefills = self.fleet[send.server].kind == 0
         timed_out = self.now >= self.bed.now and name in self.open and self.now >= self.open[name]
         if name in self.streaming:
             self.streaming.discard(name)
             result = self.draw.choice([api.Outcome.SERVED, api.Outcome.RESET])
             finished = True
         else:
-            good = api.Outcome.READ if reading else api.Outcome.SERVED
+            good = api.Outcome.READ if prefills else api.Outcome.SERVED
             result = (
                 api.Outcome.TIMED_OUT
                 if timed_out
@@ -116,8 +116,8 @@
                 )
             )
             finished = result is api.Outcome.SERVED or name not in self.open
-        missing = result is api.Outcome.FULL and not reading and self.draw.random() < 0.5
-        if not reading and result in UNPROVEN and name not in self.ran:
+        missing = result is api.Outcome.FULL and not prefills and self.draw.random() < 0.5
+        if not prefills and result in UNPROVEN and name not in self.ran:
             self.ran[name] = (send.server, sent)
         if result is api.Outcome.READ:
             self.held[name] = self.now
@@ -128,7 +128,7 @@
             self.held[name] = self.now
         if finished:
             self.open.pop(name, None)
-        self.take(
+        self.check(
             self.bed.give(api.AttemptEnded(name, number, send.server, result, self.now - sent, finished, 0, missing))
         )
 
@@ -141,37 +141,37 @@
             self.cls[name] = self.settings.classes[index]
             left = self.draw.choice([300, 2_000, 8_000]) * MS
             self.open[name] = self.now + left
-            self.take(self.bed.ask(name, session=f"s{self.count % 9}", left=left, class_index=index))
+            self.check(self.bed.ask(name, session=f"s{self.count % 9}", left=left, class_index=index))
         for name in list(self.out):
             if name not in self.out:
                 continue
             send, number, sent, ends = self.out[name]
-            reading = self.fleet[send.server].kind == 0
+            prefills = self.fleet[send.server].kind == 0
             if ends <= self.now:
-                self.outcome(name)
-            elif not reading and name in self.open.keys() - self.streaming and self.draw.random() < 0.05:
+                self.end_attempt(name)
+            elif not prefills and name in self.open.keys() - self.streaming and self.draw.random() < 0.05:
                 self.streaming.add(name)
                 self.held.pop(name, None)
                 self.open[name] += 1 << 50
                 self.out[name] = (send, number, sent, self.now + 500 * MS)
-                self.take(self.bed.give(api.FirstToken(name, number, send.server, self.now - sent)))
+                self.check(self.bed.give(api.FirstToken(name, number, send.server, self.now - sent)))
         if self.draw.random() < 0.02 and self.open:
             name = self.draw.choice(sorted(self.open))
             if name not in self.streaming:
                 del self.open[name]
-                self.take(self.bed.give(api.RequestGone(name)))
+                self.check(self.bed.give(api.RequestGone(name)))
         if self.draw.random() < 0.01 and len(self.drained) < 2:
             server = self.draw.choice(sorted(self.fleet))
             self.drained[server] = self.now
             change = replace(self.fleet[server], state=api.ServerState.DRAINING)
-            self.take(self.bed.give(api.ServerList(api.ListKind.CHANGES, 2, (change,))))
+            self.check(self.bed.give(api.ServerList(api.ListKind.CHANGES, 2, (change,))))
         if self.now % (50 * MS) == 0:
-            self.take(self.bed.give(api.TimerFired(0)))
+            self.check(self.bed.give(api.TimerFired(0)))
         for name, deadline in self.open.items():
             assert self.now <= deadline, f"{name} has no answer in time"
         for name, since in self.held.items():
             if name not in self.out:
-                assert self.now - since <= self.settings.release_within, f"{name} is left pinned"
+                assert self.now - since <= self.settings.release_within, f"{name} is held too long"
 
 
 SAFE = SETTINGS
@@ -194,7 +194,7 @@
         (replace(SAFE, max_attempts=2), FLEET[:1] + FLEET[4:5]),
     ],
 )
-def test_rules_hold_under_random_outcomes(
+def test_invariants_hold_under_random_outcomes(
     settings: api.Settings, fleet: tuple[api.ServerEntry, ...], seed: int
 ) -> None:
     world = World(settings, fleet, seed)
@@ -204,11 +204,11 @@
     assert not world.open and not world.held
     assert not world.out
     router = world.bed.router
-    assert not router.requests and not router.waiting_requests, "ended requests are forgotten"
+    assert not router.requests and not router.waiting_requests, "requests that ended are still known"
     assert all(not s.unanswered and not s.streams and not s.held_states for s in router.servers.values())
 
 
-def test_no_send_after_a_drain_is_heard() -> None:
+def test_no_send_after_a_drain_in_the_server_list() -> None:
     bed = Bed()
     bed.give(
         api.ServerList(api.ListKind.CHANGES, 2, tuple(replace(e, state=api.ServerState.DRAINING) for e in FLEET[:3]))
@@ -216,7 +216,7 @@
     assert {bed.whole(f"q{n}") for n in range(12)} == {"r3"}
 
 
-def test_a_server_missing_from_a_full_list_is_gone() -> None:
+def test_a_server_missing_from_a_full_list_is_removed() -> None:
     bed = Bed()
     bed.give(api.ServerList(api.ListKind.FULL, 2, FLEET[3:]))
     assert set(bed.router.servers) == {e.server for e in FLEET[3:]}
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter, from hand-written batches."""
+"""The simulator adapter on hand-written batches."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
     assert run(batch(1)) == ["END\tturn=1"]
 
 
-def test_a_request_from_landing_to_end() -> None:
+def test_a_request_from_arrival_to_end() -> None:
     lines = run(
         batch(1, born(0), *view(0))
         + batch(2, KNOCK)
@@ -125,7 +125,7 @@
         ("half_done", api.Outcome.READ),
     ],
 )
-def test_every_outcome_is_known(how: str, outcome: api.Outcome) -> None:
+def test_every_outcome_is_translated(how: str, outcome: api.Outcome) -> None:
     adapter = SimulatorAdapter()
     adapter.run(io.StringIO(batch(1, born(0), *view(0))), io.StringIO())
     event = adapter.instances[0].event("RESULT", {"call": "a", "engine": "e", "how": how, "note": "1"})
@@ -135,7 +135,7 @@
     assert event.kept_tokens == (1 if how in ("delivered", "half_done") else 0)
 
 
-def test_stop_and_rebirth_in_one_batch_forgets_all() -> None:
+def test_an_instance_restarted_within_a_batch_keeps_nothing() -> None:
     lines = run(
         batch(1, born(0), *view(0))
         + batch(2, KNOCK)
@@ -145,7 +145,7 @@
     assert lines[-1] == "END\tturn=4" and lines[-2].startswith(("END\tturn=3", "SLEEP"))
 
 
-def test_instances_are_apart() -> None:
+def test_instances_are_independent() -> None:
     second = KNOCK.replace("node=0", "node=1")
     both = run(batch(1, born(0), *view(0), born(1), *view(1)) + batch(2, KNOCK, second))
     alone = run(batch(1, born(0), *view(0)) + batch(2, KNOCK))
@@ -164,14 +164,14 @@
         ("KNOCK\tnode", "line 6: part 'node' is no name=value pair"),
     ],
 )
-def test_a_malformed_line_is_told_plainly(line: str, words: str) -> None:
+def test_a_malformed_line_is_reported_with_line_and_field(line: str, words: str) -> None:
     text = batch(1, born(0), *view(0)).replace("COMMIT", line + "\nCOMMIT")
     lines = run(text)
     assert lines[-1] == "END\tturn=1"
     assert len(lines) == 2 and lines[0].startswith("BROKEN\tnode=") and words in lines[0]
 
 
-def test_outside_a_batch_it_goes_to_standard_error(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_error_outside_a_batch_goes_to_standard_error(capsys: pytest.CaptureFixture[str]) -> None:
     assert SimulatorAdapter().run(io.StringIO("HELLO\tnode=1\n"), io.StringIO()) == 2
     assert capsys.readouterr().err == "stonetrack: line 1: expected BEGIN_BATCH, found 'HELLO'\n"
     assert SimulatorAdapter().run(io.StringIO("BEGIN_BATCH\tsim_time_ns=1\tturn=1\n"), io.StringIO()) == 2
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Engines in slow start: their budget binds the sum of all nodes, whatever a node knows, and counts every call."""
+"""Slow start: the budget of an engine holds for the sum of all nodes, whatever a node knows, and counts every call."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("nodes", NODES)
-def test_no_drawn_ramp_passes_its_budget_up_to_three_times_capacity(nodes: int) -> None:
+def test_no_drawn_slow_start_exceeds_its_budget_up_to_three_times_capacity(nodes: int) -> None:
     draw = random.Random(f"ramps {nodes}")
     for _ in range(RAMPS):
         ramp = drawn(draw, nodes)
@@ -25,8 +25,8 @@
         assert most <= bound(ramp.budget), ramp
 
 
-def test_ramps_pass_their_budget_where_a_node_takes_every_arrival_for_carried(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The negative control: the share of the arrivals that was landed before, at three times capacity."""
+def test_slow_starts_exceed_their_budget_where_every_arrival_counts_as_carried(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Negative control: a share of all arrivals, however many the fleet carries, at three times capacity."""
     monkeypatch.setattr(logic, "SLOW_START_TARGET_SHARE", 0.5)
     monkeypatch.setattr(logic, "PRIOR_CARRIED_SHARE", 1.0)
     monkeypatch.setattr(logic.Router, "_recent_flow", lambda self, what: 0.0)
@@ -35,26 +35,26 @@
     assert any(play(ramp, draw) > bound(ramp.budget) for ramp in ramps)
 
 
-def test_the_share_is_of_the_servers_role_however_few_are_asked_about() -> None:
-    """One asked about alone was once given the share of a fleet of one: 0.38 of all."""
-    writers = [entry(f"w{n}", DECODE) for n in range(8)]
-    bed = Bed(ANSWERS, (entry("r0", PREFILL), *writers))
-    budget = SETTINGS.cold_multiple * SETTINGS.cold_share / len(writers)
-    sent, asked_alone, names = 0, 0, [f"q{n}" for n in range(60)]
+def test_the_share_is_of_the_servers_role_however_few_are_candidates() -> None:
+    """A single candidate must not get the share of a fleet of one (0.38 of all requests)."""
+    decode_engines = [entry(f"w{n}", DECODE) for n in range(8)]
+    bed = Bed(ANSWERS, (entry("r0", PREFILL), *decode_engines))
+    budget = SETTINGS.cold_multiple * SETTINGS.cold_share / len(decode_engines)
+    sent, eligible_alone, names = 0, 0, [f"q{n}" for n in range(60)]
     for name in names:
         send = only(bed.ask(name), api.Send)
         cold = bed.router.servers["w3"]
         bed.give(api.ServerList(api.ListKind.CHANGES, 2, (entry("w3", DECODE, started=bed.now),)))
-        asked_alone += bool(bed.router._eligible([cold], bed.router.requests[name]))
-        went = only(bed.end(send, api.Outcome.READ, 0, 1 * MS), api.Send)
-        sent += went.server == "w3"
+        eligible_alone += bool(bed.router._eligible([cold], bed.router.requests[name]))
+        decode = only(bed.end(send, api.Outcome.READ, 0, 1 * MS), api.Send)
+        sent += decode.server == "w3"
         bed.give(api.ServerList(api.ListKind.CHANGES, 3, (entry("w3", DECODE),)))
-        bed.give(api.FirstToken(name, 1, went.server, 1 * MS))
-        bed.end(went, api.Outcome.SERVED, 1, 1 * MS, finished=True)
-    assert sent <= asked_alone <= budget * len(names)
+        bed.give(api.FirstToken(name, 1, decode.server, 1 * MS))
+        bed.end(decode, api.Outcome.SERVED, 1, 1 * MS, finished=True)
+    assert sent <= eligible_alone <= budget * len(names)
 
 
-def test_a_lighter_engine_gets_less() -> None:
+def test_an_engine_of_less_weight_gets_less() -> None:
     light = [entry("r0", PREFILL, started=100 * SECOND, weight=0.25), *(entry(f"r{n}", PREFILL) for n in range(1, 4))]
     bed = Bed(fleet=(*light, entry("w0", DECODE)))
     shares = bed.router._slow_start_share(api.Role.PREFILL) * bed.router.servers["r0"].weight
@@ -62,35 +62,35 @@
     assert shares == pytest.approx(even.router._slow_start_share(api.Role.PREFILL) * 0.25 * 4 / 3.25)
 
 
-def test_no_place_and_no_probe_goes_to_an_engine_in_slow_start() -> None:
-    """Each call counts there, so that the budget is for sends alone."""
+def test_no_reservation_and_no_probe_goes_to_an_engine_in_slow_start() -> None:
+    """Each call counts against the budget there, so the budget is spent on sends alone."""
     settings = replace(ANSWERS, report_source=api.ReportSource.PROBES)
     for fleet_settings in (ANSWERS, settings):
         cold = (*(entry(f"r{n}", PREFILL) for n in range(14)),
                 *(entry(f"w{n}", DECODE, started=100 * SECOND) for n in range(3)), entry("w3", DECODE))  # fmt: skip
-        asked = set()
+        called = set()
         for n in range(300):
             bed = Bed(fleet_settings, cold)
             bed.ask(f"q{n}")
-            asked |= {a.server for a in bed.actions if isinstance(a, (api.Probe, api.HoldPlace))}
-        assert asked and not asked & {"w0", "w1", "w2"}
+            called |= {a.server for a in bed.actions if isinstance(a, (api.Probe, api.HoldPlace))}
+        assert called and not called & {"w0", "w1", "w2"}
 
 
-def test_a_reader_in_slow_start_is_neither_asked_nor_waited_for() -> None:
+def test_a_prefill_engine_in_slow_start_is_neither_probed_nor_waited_for() -> None:
     fleet = (*(entry(f"r{n}", PREFILL, started=100 * SECOND if n < 7 else 0) for n in range(14)), entry("w0", DECODE))
-    asked, went = set(), set()
+    probed, sent_to = set(), set()
     for n in range(600):
         bed = Bed(ANSWERS, fleet)
         bed.ask(f"q{n}")
-        asked |= {a.server for a in of(bed.actions, api.Probe)}
+        probed |= {a.server for a in of(bed.actions, api.Probe)}
         bed.wait(150 * MS)
-        went |= {send.server for send in of(bed.actions, api.Send)}
+        sent_to |= {send.server for send in of(bed.actions, api.Send)}
     cold = {f"r{n}" for n in range(7)}
-    assert asked and not asked & cold and went & cold
+    assert probed and not probed & cold and sent_to & cold
 
 
 def test_a_request_is_sent_to_an_engine_in_slow_start_once_also_after_its_state_was_lost() -> None:
-    """A writer that answers that the state is gone has had its call."""
+    """A decode engine that answers that the state is gone has had its call."""
     fleet = (
         entry("r0", PREFILL),
         entry("r1", PREFILL),
@@ -99,20 +99,20 @@
     tried = 0
     for n in range(400):
         bed = Bed(fleet=fleet)
-        read = only(bed.ask(f"q{n}"), api.Send)
-        writes = of(bed.end(read, api.Outcome.READ, 0, 1 * MS), api.Send)
-        if not writes:
+        prefill = only(bed.ask(f"q{n}"), api.Send)
+        decodes = of(bed.end(prefill, api.Outcome.READ, 0, 1 * MS), api.Send)
+        if not decodes:
             continue
         tried += 1
-        again = of(bed.end(writes[0], api.Outcome.FULL, 1, 1 * MS, state_missing=True), api.Send)
+        again = of(bed.end(decodes[0], api.Outcome.FULL, 1, 1 * MS, state_missing=True), api.Send)
         if again:
             assert again[0].server[0] == "r"
             later = of(bed.end(again[0], api.Outcome.READ, 2, 1 * MS), api.Send) + of(bed.wait(4 * SECOND), api.Send)
-            assert writes[0].server not in {send.server for send in later}
+            assert decodes[0].server not in {send.server for send in later}
     assert tried > 4
 
 
-def test_where_all_are_cold_some_are_sent_requests() -> None:
+def test_where_all_are_in_slow_start_some_requests_are_sent() -> None:
     fleet = (*(entry(f"r{n}", PREFILL, started=100 * SECOND) for n in range(4)), entry("w0", DECODE))
     names = [f"q{n}" for n in range(400)]
     sent = [name for name in names if of(Bed(fleet=fleet).ask(name), api.Send)]
@@ -120,7 +120,7 @@
     assert sent == [name for name in names if any(hash_fraction(name, f"r{n}") < share for n in range(4))] and sent
 
 
-def test_a_probe_that_this_machine_could_not_make_leaves_no_server_out() -> None:
+def test_a_probe_that_could_not_be_sent_ejects_no_server() -> None:
     bed = Bed()
     bed.give(api.ProbeEnded("r0", api.Outcome.NOT_SENT, 1 * MS))
     assert not bed.router.servers["r0"].ejections
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the router: nothing is left out, and the router made from one decides as the first."""
+"""Snapshots of the router: they are complete, and a router restored from one decides as the first."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         assert plain.handle(call.at, call.event) == watched.handle(call.at, call.event)
 
 
-def test_a_field_that_the_module_gains_is_noticed() -> None:
+def test_a_field_that_logic_gains_is_noticed() -> None:
     assert set(snapshot.by_stored_name("Router", vars(Router(SETTINGS, 1)))) == set(snapshot.ROUTER)
     router = Router(SETTINGS, 1)
     router.something_new = 1  # type: ignore[attr-defined]
@@ -50,7 +50,7 @@
         snapshot._plain(table)
     with pytest.raises(SnapshotError, match="complex"):
         snapshot._plain(1j)
-    # Classes of the module: each field is written, by its place.
+    # Classes of logic.py: each field is written, by its position.
     for name, cls in (
         ("Server", logic.Server), ("Request", logic.Request), ("Stat", logic.RunningStats), ("Pause", logic.Ejection)
     ):  # fmt: skip
@@ -58,6 +58,6 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\x90", b"\x94\x02\x80\x80\x80", b"\x94\x01\x80\x80\x80", b"nonsense"])
-def test_what_is_no_snapshot_is_refused(data: bytes) -> None:
+def test_invalid_snapshots_are_refused(data: bytes) -> None:
     with pytest.raises(SnapshotError):
         restore(data)
