--- a/stonetrack/controller/service.py
+++ b/stonetrack/controller/service.py
@@ -26,7 +26,7 @@
 from stonetrack.cas_store.embedded import Embedded
 from stonetrack.cas_store.etcd import Etcd
 from stonetrack.cas_store.ports import Entry, Register, RegisterError, Unknown
-from stonetrack.clocks import rig_offset_ns, wall_time, wall_time_ns
+from stonetrack.clocks import wall_clock_offset_ns, wall_time, wall_time_ns
 from stonetrack.controller import jobs
 from stonetrack.controller.calls import CallRefused, Receivers
 from stonetrack.controller.checking import Check
@@ -38,9 +38,9 @@
 from stonetrack.controller.settings import Steward as Settings
 from stonetrack.election.fence import Refused, Token
 from stonetrack.election.lease import Lease, Look, Outcome, Record, Rest, Stage, Swap, Terms
-from stonetrack.frontend.connection import Connection, Request
-from stonetrack.frontend.host import Host, plain
-from stonetrack.frontend.refusals import error_body, plain_refusal
+from stonetrack.frontend.connection import Connection, HttpRequest
+from stonetrack.frontend.host import Host, plain_response
+from stonetrack.frontend.service_errors import error_body, rejection_response
 
 Log = Callable[..., None]
 SECOND = 1_000_000_000
@@ -88,7 +88,7 @@
         terms = Terms(int(settings.lease_s * SECOND), settings.drift, settings.margin_ms * 1_000_000)
         self._lease = Lease(self.me, terms, settings.rank)
         # Once: a wall clock that is set does not reach into a job's times.
-        self._began = (wall_time_ns() + rig_offset_ns() - clock()) / SECOND
+        self._began = (wall_time_ns() + wall_clock_offset_ns() - clock()) / SECOND
         self._draw = random.Random(self.me)
         self._lock = threading.Lock()
         self._changed = threading.Condition(self._lock)
@@ -351,7 +351,7 @@
     def __init__(self, steward: Steward, listener: socket, log: Log) -> None:
         self._steward = steward
         settings = steward.settings
-        self._host = Host(listener, settings.limits, settings.timing, self._handle, plain_refusal, log)
+        self._host = Host(listener, settings.limits, settings.timing, self._handle, rejection_response, log)
         self._metrics = CollectorRegistry()
         self._metrics.register(_Figures(steward))
 
@@ -364,16 +364,16 @@
         self._host.drain()
         self._host.stop()
 
-    def _handle(self, connection: Connection, request: Request, waker: Any) -> bool:
+    def _handle(self, connection: Connection, request: HttpRequest, waker: Any) -> bool:
         head = request.head
         if head.method == "GET" and head.path == "/health":
-            connection.write(plain(200, msgspec.json.encode(self._steward.health()), keep=head.keep_alive))
+            connection.write(plain_response(200, msgspec.json.encode(self._steward.health()), keep=head.keep_alive))
         elif head.method == "GET" and head.path == "/metrics":
             body = generate_latest(self._metrics)
-            connection.write(plain(200, body, (), "text/plain; version=0.0.4", head.keep_alive))
+            connection.write(plain_response(200, body, (), "text/plain; version=0.0.4", head.keep_alive))
         else:
             body = error_body("served here: GET /health, /metrics")
-            connection.write(plain(404, body, keep=head.keep_alive))
+            connection.write(plain_response(404, body, keep=head.keep_alive))
         return head.keep_alive
 
 
--- a/stonetrack/frontend/host.py
+++ b/stonetrack/frontend/host.py
@@ -27,12 +27,12 @@
 from collections import deque
 from collections.abc import Callable
 
-from stonetrack.frontend.connection import Connection, HostState, Request
+from stonetrack.frontend.connection import Connection, HostState, HttpRequest
 from stonetrack.node import sockets
-from stonetrack.node.drive import Waker
-from stonetrack.node.ports import ClientLost
-from stonetrack.node.system_errors import Call, Meaning, meaning
-from stonetrack.node.threads import lasting
+from stonetrack.node.ports import ClientDisconnected
+from stonetrack.node.request_runner import Waker
+from stonetrack.node.system_errors import ErrorClass, SystemCall, classify_error
+from stonetrack.node.threads import restarting_thread
 from stonetrack.settings.schema import Limits, Timing
 from stonetrack.wire import http1, writer
 from stonetrack.wire.errors import ProtocolError
@@ -50,7 +50,7 @@
 _ROOM = 20  # times 5 ms that a new client waits for room
 _SWEEP = 1.0  # seconds in which the listening socket is emptied at a drain
 
-Handler = Callable[[Connection, Request, Waker], bool]  # whether the connection may be kept
+Handler = Callable[[Connection, HttpRequest, Waker], bool]  # whether the connection may be kept
 
 
 class Host:
@@ -78,11 +78,11 @@
         self._back = Waker()
         self._epoll.register(self._back.fd, select.EPOLLIN)
         self._lock = threading.Lock()
-        self._jobs: queue.SimpleQueue[tuple[Connection, Request] | None] = queue.SimpleQueue()
+        self._jobs: queue.SimpleQueue[tuple[Connection, HttpRequest] | None] = queue.SimpleQueue()
         self._free = 0  # workers waiting for a job
         self.workers = 0
         self.connections = 0
-        self.refused = 0
+        self.rejected = 0
         self._held = 0  # bytes of bodies not yet whole
         self.state = HostState()
         self._moving = False  # the parking thread reads, or moves connections between its places
@@ -91,8 +91,8 @@
         self._wakers = 0  # with descriptors
         self._spare: int | None = None
         self._said = 0.0  # when the log was told of missing descriptors
-        self._accepted = lasting("accept", self._accept, log)
-        self._parking = lasting("park", self._park, log)
+        self._accepted = restarting_thread("accept", self._accept, log)
+        self._parking = restarting_thread("park", self._park, log)
         self._done = threading.Event()
 
     def start(self) -> None:
@@ -103,22 +103,22 @@
         self._accepted.start()
         self._parking.start()
 
-    def leave(self) -> None:
+    def close_after_responses(self) -> None:
         """Serve on, and close each connection with its answer, idle ones now: clients go elsewhere, those that come
         meanwhile are served."""
         self.state.leaving = True
         self._back.wake()
 
-    def drain(self, sweep: bool = False) -> None:
+    def drain(self, accept_queued: bool = False) -> None:
         """Accept nothing more and close what is idle; requests under way go on.
 
-        ``sweep`` takes what the kernel has accepted by then and closes the listening socket: for a host that has it
-        alone.
+        ``accept_queued`` takes what the kernel has accepted by then and closes the listening socket: for a host that
+        has it alone.
         """
         self.state.draining = True
         if self._accepted.ident is not None:
             self._accepted.join(2.0)
-        if sweep:
+        if accept_queued:
             with contextlib.suppress(OSError):
                 self._sweep_listener()
             self.listener.close()
@@ -139,9 +139,9 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if meaning(Call.ACCEPT, error) is Meaning.DEFECT:
+                if classify_error(SystemCall.ACCEPT, error) is ErrorClass.DEFECT:
                     raise
-                if meaning(Call.ACCEPT, error) is Meaning.MACHINE:
+                if classify_error(SystemCall.ACCEPT, error) is ErrorClass.LOCAL:
                     self._accept_spare(error)
 
     @property
@@ -156,7 +156,7 @@
             return True
         return any(each.begun_at or not each.served for each in list(self._parked.values()))
 
-    def seal(self) -> bool:
+    def stop_reading_if_idle(self) -> bool:
         """Read nothing more, unless busy; whether that is so.
 
         For the end of the process: what is read after the last look at ``busy`` would be lost.
@@ -187,10 +187,10 @@
             try:
                 sock = sockets.accept(self.listener)
             except OSError as error:
-                match meaning(Call.ACCEPT, error):
-                    case Meaning.MACHINE:
+                match classify_error(SystemCall.ACCEPT, error):
+                    case ErrorClass.LOCAL:
                         self._accept_spare(error)
-                    case Meaning.DEFECT if not self.state.draining:
+                    case ErrorClass.DEFECT if not self.state.draining:
                         raise  # the listening socket is of no use any more: started again, and then the process ends
                 continue
             self._admit(sock)
@@ -204,10 +204,10 @@
         else:
             self._turn_away(sock, f"all {self.limits.connections} connections are taken")
             return
-        sockets.no_delay(sock)
+        sockets.set_no_delay(sock)
         if self.limits.socket_send_bytes:
             with contextlib.suppress(OSError):
-                sockets.SYSTEM.option(sock, socket.SOL_SOCKET, socket.SO_SNDBUF, self.limits.socket_send_bytes)
+                sockets.SYSTEM.set_option(sock, socket.SOL_SOCKET, socket.SO_SNDBUF, self.limits.socket_send_bytes)
         try:
             connection = Connection(sock, self._wire, self.state)
         except MemoryError:
@@ -232,7 +232,7 @@
         time.sleep(0.01)
 
     def _turn_away(self, sock: socket.socket, why: str) -> None:
-        self.refused += 1
+        self.rejected += 1
         with contextlib.suppress(OSError):
             sockets.send(sock, self._refuse(503, why))
             sock.shutdown(socket.SHUT_WR)
@@ -248,7 +248,7 @@
     def _park(self) -> None:
         looked = 0.0
         while not self._done.is_set():
-            ready = sockets.patiently(Call.POLL, lambda: self._epoll.poll(0.25, 256))
+            ready = sockets.call_with_retries(SystemCall.POLL, lambda: self._epoll.poll(0.25, 256))
             with self._lock:
                 if self._sealed:
                     return
@@ -286,7 +286,9 @@
         fd = connection.fileno()
         self._parked[fd] = connection
         try:
-            sockets.patiently(Call.POLL, lambda: self._epoll.register(fd, select.EPOLLIN | select.EPOLLRDHUP))
+            sockets.call_with_retries(
+                SystemCall.POLL, lambda: self._epoll.register(fd, select.EPOLLIN | select.EPOLLRDHUP)
+            )
         except OSError as error:
             self._log(f"a client's connection can't be watched: {error}")
             self._refuse_and_close(connection, 503, "this instance is short of means")
@@ -355,7 +357,7 @@
 
     def _refuse_and_close(self, connection: Connection, status: int, why: str) -> None:
         """Answer and close at once, where there is no room to wait for what the client still sends."""
-        with contextlib.suppress(ClientLost, MemoryError):
+        with contextlib.suppress(ClientDisconnected, MemoryError):
             connection.write(self._refuse(status, why))
         self._close_answered(connection)
 
@@ -371,7 +373,7 @@
             return
         try:
             data = sockets.receive(connection.sock, _READ)
-        except (BlockingIOError, sockets.MachineShort):
+        except (BlockingIOError, sockets.ResourceExhausted):
             return  # it is still readable, and looked at again
         except OSError:
             data = b""
@@ -379,11 +381,11 @@
             self._close(connection)
             return
         try:
-            request = connection.take(data)
+            request = connection.feed(data)
         except ProtocolError as error:
             self._reject(connection, error.status, str(error))
             return
-        except ClientLost:
+        except ClientDisconnected:
             self._reset(connection)
             return
         self._count_body(connection)
@@ -404,7 +406,7 @@
         try:
             connection.write(self._refuse(status, why))
             connection.sock.shutdown(socket.SHUT_WR)
-        except (ClientLost, OSError):
+        except (ClientDisconnected, OSError):
             self._reset(connection)
             return
         connection.lingers_until = time.monotonic_ns() + _LINGER_CLOSE
@@ -418,12 +420,12 @@
                 if not sockets.receive(connection.sock, 262_144):
                     self._close(connection)
                     return
-        except (BlockingIOError, sockets.MachineShort):
+        except (BlockingIOError, sockets.ResourceExhausted):
             pass
         except OSError:
             self._close(connection)
 
-    def _hand_over(self, connection: Connection, request: Request) -> None:
+    def _hand_over(self, connection: Connection, request: HttpRequest) -> None:
         """Give the request to a worker; when none can be had, refuse it."""
         with self._lock:
             if self._free > 0:
@@ -444,7 +446,7 @@
                 self._log(f"out of threads: {error}")
                 spawn = None
         if spawn is None:
-            self.refused += 1
+            self.rejected += 1
             self._reject(connection, 503, "all workers are busy")
             return
         self._jobs.put((connection, request))
@@ -470,7 +472,7 @@
 
     # Working.
 
-    def _work(self, connection: Connection, request: Request) -> None:
+    def _work(self, connection: Connection, request: HttpRequest) -> None:
         with self._lock:
             own = self._wakers < self._most_wakers
             self._wakers += own
@@ -481,11 +483,11 @@
             with self._lock:
                 self.workers -= 1
                 self._wakers -= own
-            self.refused += 1
+            self.rejected += 1
             self._reject(connection, 503, "no descriptor is free")
             return
         try:
-            job: tuple[Connection, Request] | None = (connection, request)
+            job: tuple[Connection, HttpRequest] | None = (connection, request)
             while job is not None:
                 self._serve(*job, waker)
                 with self._lock:
@@ -504,18 +506,18 @@
                 self.workers -= 1
                 self._wakers -= own
 
-    def _serve(self, connection: Connection, request: Request, waker: Waker) -> None:
+    def _serve(self, connection: Connection, request: HttpRequest, waker: Waker) -> None:
         """Run the request, and those that follow at once on the same connection."""
-        following: Request | None = request
+        following: HttpRequest | None = request
         while following is not None and self._answer(connection, following, waker):
             following = self._next(connection)
 
-    def _answer(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def _answer(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         """Run one request; whether its connection goes on."""
         try:
             keep = self._handle(connection, request, waker)
             connection.drain(self.timing.client_stall_ms / 1000.0)
-        except ClientLost:
+        except ClientDisconnected:
             self._reset(connection)
             return False
         except Exception as error:  # a defect, or memory short: this client alone is told so
@@ -523,7 +525,7 @@
             if connection.answering:
                 self._reset(connection)
             else:
-                short = isinstance(error, (MemoryError, sockets.MachineShort))
+                short = isinstance(error, (MemoryError, sockets.ResourceExhausted))
                 status = 503 if short else 500
                 self._refuse_and_close(connection, status, "this instance could not serve the request")
             return False
@@ -532,23 +534,23 @@
             return False
         return True
 
-    def _next(self, connection: Connection) -> Request | None:
+    def _next(self, connection: Connection) -> HttpRequest | None:
         """The request that follows on a connection; none where it is parked or closed."""
         try:
-            following = connection.take(b"")
+            following = connection.feed(b"")
             wait = 0 if self.state.draining else _LINGER_MS
             if following is None and connection.reader.idle and sockets.readable(connection.sock, wait):
                 data = sockets.receive(connection.sock, _READ)
                 if not data:
                     self._close(connection)
                     return None
-                following = connection.take(data)
+                following = connection.feed(data)
         except ProtocolError as error:
             self._reject(connection, error.status, str(error))
             return None
-        except (BlockingIOError, sockets.MachineShort):
+        except (BlockingIOError, sockets.ResourceExhausted):
             following = None
-        except (OSError, ClientLost):
+        except (OSError, ClientDisconnected):
             self._close(connection)
             return None
         if following is None:
@@ -571,7 +573,7 @@
     return sock
 
 
-def plain(
+def plain_response(
     status: int,
     body: bytes,
     headers: tuple[tuple[str, str], ...] = (),
--- a/tests/test_cases.py
+++ b/tests/test_cases.py
@@ -14,10 +14,10 @@
 from stonetrack.capture.codec import Call, CaptureError, Header, Record, State
 from stonetrack.capture.history import read
 from stonetrack.capture.replay import replay
-from stonetrack.frontend.classify import ByteEstimator, hash_key, session_of, shape
+from stonetrack.frontend.classify import ByteEstimator, describe_prompt, hash_key, session_of
 from stonetrack.logic import Router
 from stonetrack.settings import parse
-from tests.rig import Client, chat, raw_settings, rig
+from tests.harness import Client, chat, harness, raw_settings
 from tests.test_capture import HEADER, calls, command, files, write
 from tests.test_replaying import API, LOGIC
 
@@ -167,13 +167,15 @@
     names = [session_of(("bob",), 0, hash_key(each)) for each in (one, same, other)]
     assert names[0] == names[1] != names[2]
     messages = [{"role": "system", "content": "You are brief."}, {"role": "user", "content": "Hi"}]
-    begun = [shape(messages, None, "m", ByteEstimator(), hash_key(each)).shared_beginning for each in (one, other)]
+    begun = [
+        describe_prompt(messages, None, "m", ByteEstimator(), hash_key(each)).shared_prefix for each in (one, other)
+    ]
     assert begun[0] != begun[1] and None not in begun
 
 
 def test_a_live_capture_holds_no_text_no_session_and_no_tenants_name(tmp_path: Path) -> None:
     settings = {"capture": {"dir": str(tmp_path), "flush_ms": 10}, "tenants": [{"name": "Suva Charging"}]}
-    with rig(1, 1, settings=settings) as node:
+    with harness(1, 1, settings=settings) as node:
         client = Client(node.port)
         body = chat("Where is the charger in Nadi?", prompt_cache_key="driver-77", max_tokens=3)
         body["messages"].insert(0, {"role": "system", "content": "You know Fiji."})
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,17 +13,17 @@
 
 import pytest
 
-from stonetrack.frontend.connection import Connection, HostState, Request
-from stonetrack.frontend.host import Host, listen, plain
+from stonetrack.frontend.connection import Connection, HostState, HttpRequest
+from stonetrack.frontend.host import Host, listen, plain_response
 from stonetrack.node import sockets
-from stonetrack.node.drive import Waker
+from stonetrack.node.request_runner import Waker
 from stonetrack.node.sockets import System
 from stonetrack.settings.schema import Limits, Timing
 from stonetrack.soak.latitude import KINDEST, Latitude, Sentence
 from stonetrack.soak.platform import Trouble
 from stonetrack.wire import http1
-from tests.platform import ask, headers, node, platform
-from tests.rig import CHAT, Client, wait_for
+from tests.harness import CHAT, Client, wait_for
+from tests.platform import headers, node, platform, round_trip
 
 GET = b"GET /%d HTTP/1.1\r\nHost: a\r\n\r\n"
 
@@ -40,13 +40,13 @@
         self.wait.set()
         self.host = Host(
             self.listener, Limits(**limits), Timing(idle_ms=60_000), self.handle,
-            lambda status, why: plain(status, why.encode(), keep=False), self.said.append)  # fmt: skip
+            lambda status, why: plain_response(status, why.encode(), keep=False), self.said.append)  # fmt: skip
 
-    def handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def handle(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         self.asked.append(request.head.path)
         self.wait.wait(5.0)
-        keep = request.head.keep_alive and not connection.last
-        connection.write(plain(200, request.head.path.encode(), keep=keep))
+        keep = request.head.keep_alive and not connection.closes_after_response
+        connection.write(plain_response(200, request.head.path.encode(), keep=keep))
         return keep
 
 
@@ -77,7 +77,7 @@
         made.wait.clear()
         client.send(GET % 1 + GET % 2 + GET % 3)
         assert wait_for(lambda: made.asked == ["/1"])
-        made.host.leave()
+        made.host.close_after_responses()
         made.host.drain()
         made.wait.set()
         answers = [client.answer() for _ in range(3)]
@@ -96,7 +96,7 @@
         made.wait.set()
         assert client.answer()[1] == b"/1" and made.host.busy
         time.sleep(0.05)
-        assert not made.host.seal()
+        assert not made.host.stop_reading_if_idle()
         client.send((GET % 2)[10:])
         assert client.answer()[1] == b"/2"
         assert wait_for(lambda: not made.host.busy)
@@ -149,10 +149,10 @@
         made.wait.clear()
         client.send(GET % 2)
         assert wait_for(lambda: len(made.asked) == 2)
-        assert made.host.busy and not made.host.seal()
+        assert made.host.busy and not made.host.stop_reading_if_idle()
         made.wait.set()
         assert client.answer()[1] == b"/2"
-        assert wait_for(made.host.seal)
+        assert wait_for(made.host.stop_reading_if_idle)
         client.send(GET % 3)
         time.sleep(0.4)
         assert len(made.asked) == 2
@@ -165,7 +165,7 @@
         here, on = threading.Event(), threading.Event()
         real = made.host._hand_over
 
-        def slowly(connection: Connection, request: Request) -> None:
+        def slowly(connection: Connection, request: HttpRequest) -> None:
             here.set()
             on.wait(5.0)
             real(connection, request)
@@ -174,7 +174,7 @@
         client = Client(made.port)
         client.send(GET % 1)
         assert here.wait(5.0)
-        busy, sealed = made.host.busy, made.host.seal()
+        busy, sealed = made.host.busy, made.host.stop_reading_if_idle()
         on.set()
         assert busy and not sealed and client.answer()[1] == b"/1"
 
@@ -200,7 +200,7 @@
     made.host._spare = None
     made.host._parking.start()
     with system(Failing()):
-        made.host.drain(sweep=True)
+        made.host.drain(accept_queued=True)
     for n, client in enumerate(clients):
         head, body = client.answer()
         assert (head.status, body) == (200, b"/%d" % n) or head.status == 503
@@ -216,7 +216,7 @@
     made.host._parking.start()
     began = time.monotonic()
     with system(Full()):
-        made.host.drain(sweep=True)
+        made.host.drain(accept_queued=True)
     assert time.monotonic() - began < 1.5
     made.host.stop()
 
@@ -238,12 +238,12 @@
 
 
 def test_out_of_memory_while_a_request_is_read_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
-    def none_left(self: Connection, data: bytes) -> Request | None:
+    def none_left(self: Connection, data: bytes) -> HttpRequest | None:
         raise MemoryError
 
     with bare() as made:
         with monkeypatch.context() as patched:
-            patched.setattr(Connection, "take", none_left)
+            patched.setattr(Connection, "feed", none_left)
             client = Client(made.port)
             client.send(GET % 1)
             assert client.answer()[0].status == 503
@@ -269,16 +269,16 @@
 def test_what_a_list_that_can_not_be_read_told_is_asked_for_again(capfd: pytest.CaptureFixture[str]) -> None:
     """It was passed over, the version of the next one taken, and what it had told was lost for good."""
     with platform() as world, node(world) as made:
-        assert wait_for(lambda: made.hosts.rev == 1 and len(world.discovery.asked) == 1)
+        assert wait_for(lambda: made.engine_table.rev == 1 and len(world.discovery.asked) == 1)
         whole = world.document
         broken = b'{"rev": 2, "all": false, "targets": [{"uid": 7}]}'
         world.document = lambda node=0: broken  # type: ignore[method-assign]
         world.change("w0", "DRAINING")
         assert wait_for(lambda: len(world.discovery.asked) > 3)
-        assert made.hosts.rev == 1 and made.hosts.engines["w0"].up
+        assert made.engine_table.rev == 1 and made.engine_table.engines["w0"].up
         assert all(target.endswith("&after=1") for target in world.discovery.asked[1:])
         world.document = whole  # type: ignore[method-assign]
-        assert wait_for(lambda: not made.hosts.engines["w0"].up)
+        assert wait_for(lambda: not made.engine_table.engines["w0"].up)
     said = [line for line in capfd.readouterr().err.splitlines() if "Expected `str`" in line]
     assert len(said) == 1, said  # once, not at every try
 
@@ -293,7 +293,7 @@
         slow.trouble = Trouble.HANG_BEFORE
         client = Client(world.listen)
         for n in range(12):
-            assert ask(client, f"q{n}")[0].status == 200
+            assert round_trip(client, f"q{n}")[0].status == 200
         first = {each.request: each.engine for each in reversed(world.seen) if each.what == "read"}
         late = [request for request, engine in first.items() if engine == "r0"]
         assert late, "no read was given up at r0"
@@ -324,7 +324,7 @@
         router.settings = replace(router.settings, may_cancel=False)  # else the router's cancellation ends it
         with system(Slow()):
             client = Client(world.listen)
-            client.ask(b'{"model":"chat"}', CHAT, headers=headers("gone"))
+            client.send_request(b'{"model":"chat"}', CHAT, headers=headers("gone"))
             assert wait_for(lambda: any(s.waiting for s in router.servers.values()))
             time.sleep(0.05)
             if how == "half close":
@@ -337,4 +337,4 @@
             hold.set()
         time.sleep(0.2)
         assert not [what for what, _ in world.which("gone") if what in ("read", "write")]
-        assert ask(Client(world.listen), "next")[0].status == 200
+        assert round_trip(Client(world.listen), "next")[0].status == 200
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -93,7 +93,7 @@
 IO = {"socket", "select", "threading", "time", "os", "subprocess", "queue", "signal"}
 PURE = [
     "wire/*.py", "node/invariants.py", "node/transitions.py",
-    "node/life.py", "node/ports.py", "node/system_errors.py", "engines/protocol.py", "engines/load.py",
+    "node/request_lifecycle.py", "node/ports.py", "node/system_errors.py", "engines/protocol.py", "engines/load.py",
     "engines/listing.py", "engines/releases.py", "engines/reuse.py", "engines/starts.py", "bootstrap/*.py",
     "discovery/history.py", "discovery/turns.py", "discovery/settings.py", "election/*.py", "audit/filter.py",
     "audit/account.py", "audit/chain.py", "audit/questions.py", "audit/collecting.py", "audit/settings.py",
@@ -105,12 +105,13 @@
     "controller/settings.py", "fleet/shape.py",
     "fleet/script.py", "fleet/model.py", "fleet/judge.py", "fleet/serving.py", "fleet/faulted.py",
     "frontend/answers.py", "frontend/classify.py", "frontend/auth.py", "frontend/errors.py",
-    "frontend/jsonguard.py", "settings/*.py", "emulator/engine.py", "emulator/answers.py", "fleet/rules.py",
+    "frontend/json_limits.py", "settings/*.py", "emulator/engine.py", "emulator/answers.py", "fleet/rules.py",
     "fleet/traffic.py", "soak/engine_side.py", "scenario/script.py",
     "scenario/bench.py", "capture/codec.py", "capture/segment.py", "capture/snapshot.py", "capture/explain.py",
     "capture/compare.py", "capture/index.py", "capture/retention.py", "capture/case.py", "capture/redact.py",
     "capture/journal.py", "manage/framing.py", "manage/datastore.py", "manage/yang.py", "manage/model.py",
-    "manage/messages.py", "edge/config.py", "edge/asks.py", "edge/exchange.py", "edge/hosts.py", "edge/budget.py",
+    "manage/messages.py", "edge/config.py", "edge/requests.py", "edge/exchange.py", "edge/engine_table.py",
+    "edge/budget.py",
     "background/wheel.py", "background/plan.py", "logic.py", "api.py",
 ]  # fmt: skip
 BANNED = {"asyncio", "socketserver", "http", "urllib", "xmlrpc", "requests", "httpx", "h11", "h2", "grpc"}
--- a/tests/test_replaying.py
+++ b/tests/test_replaying.py
@@ -22,7 +22,7 @@
 from stonetrack.capture.replay import replay, run
 from stonetrack.capture.store import Saved, Store
 from stonetrack.logic import MS, SECOND, Router
-from tests.bed import FLEET, MIXED, PREFILL, entry
+from tests.router_fixture import FLEET, MIXED, PREFILL, entry
 from tests.test_capture import HEADER, calls, command, files, write
 
 ROOT = Path(__file__).parent.parent
