--- a/stonetrack/edge/abandoned.py
+++ b/stonetrack/edge/abandoned.py
@@ -100,8 +100,9 @@
     """Tracks abandoned prefills on a thread of its own and sends their releases.
 
     ``release_any`` tries once to release all that is held for a request, at any engine; ``release_at`` sends one
-    release to one engine (result: :class:`.ReleaseResult`); ``is_needed`` returns whether another attempt of the request
-    needs the held state.  ``within`` is the settings' release time in nanoseconds; ``max_watched`` bounds the connections.
+    release to one engine (result: :class:`.ReleaseResult`); ``is_needed`` returns whether another attempt of the
+    request needs the held state.  ``within`` is the settings' release time in nanoseconds; ``max_watched`` bounds the
+    connections.
     """
 
     def __init__(
