--- a/stonetrack/wire/errors.py
+++ b/stonetrack/wire/errors.py
@@ -1,13 +1,13 @@
-"""What a peer did wrong, with the status a server answers it by."""
+"""Protocol violations by a peer, with the HTTP status that a server answers."""
 
 from __future__ import annotations
 
 
 class ProtocolError(ValueError):
-    """A message that can't be taken.
+    """A message that can't be parsed or is not accepted.
 
-    ``status`` is the HTTP status a server answers with; after it the connection is closed, since where the
-    next message begins is no longer known.  The text names what was found and what is allowed.
+    ``status`` is the HTTP status that a server answers with.  The connection is closed after that answer, because the
+    start of the next message is unknown.  The text names what was found and what is allowed.
     """
 
     def __init__(self, text: str, status: int = 400) -> None:
@@ -16,4 +16,4 @@
 
 
 class TooLarge(ProtocolError):
-    """A part of the message is over its bound (413, 414 or 431)."""
+    """A part of the message exceeds its limit (413, 414 or 431; 400 for a chunk size line)."""
--- a/stonetrack/wire/http1.py
+++ b/stonetrack/wire/http1.py
@@ -1,21 +1,22 @@
-"""HTTP/1.1 messages without I/O (RFC 9110, RFC 9112): one reader for requests and responses, and writers.
+"""HTTP/1.1 messages without I/O (RFC 9110, RFC 9112): one incremental parser for requests and responses.
 
-Theory of operation.  A :class:`MessageReader` is fed whatever a socket gave, in pieces of any size, and returns
-events: one head, any number of ``Data``, one ``End``; then the next message.  Its states and edges::
+A :class:`MessageReader` is fed the bytes received from a socket, split anywhere, and returns events: one head, any
+number of ``Data``, one ``End``; then the next message.  Its states and transitions::
 
-    HEAD ──head without body──────────────> END ──next feed──> HEAD
-    HEAD ──Content-Length n──> LENGTH ──n bytes──> END
-    HEAD ──chunked──> SIZE ──size > 0──> CHUNK ──bytes──> GAP ──CRLF──> SIZE
-                      SIZE ──size 0──> TRAILER ──empty line──> END
-    HEAD (response, neither)──> UNTIL_CLOSE ──eof()──> END
+    HEAD ──head without body──────────────────────> END ──next feed──> HEAD
+    HEAD ──Content-Length n──> COUNTED_BODY ──n bytes──> END
+    HEAD ──chunked──> CHUNK_SIZE ──size > 0──> CHUNK_DATA ──bytes──> CHUNK_END ──CRLF──> CHUNK_SIZE
+                      CHUNK_SIZE ──size 0──> TRAILER ──empty line──> END
+    HEAD (response with neither) ──> UNTIL_CLOSE ──eof()──> END
 
-Framing is where two parsers that disagree can be played against each other (request smuggling), so all that
-is doubtful is an error here, never repaired: both length headers or a repeated one, any transfer coding but
-``chunked``, a chunk size with a sign, blank or over 16 digits, a folded header, NUL or another control byte, a
-line that ends in a bare LF, white space before a colon.
+Two parsers that disagree about framing allow request smuggling (RFC 9112, section 11.2).  Ambiguous input is therefore
+an error and never repaired: both length headers or a repeated one, any transfer coding other than ``chunked``, a chunk
+size with a sign, a blank or over 16 digits, a folded header, NUL or another control byte, a line that ends in a bare
+LF, white space before a colon.
 
-Cost: linear in the bytes, whatever their pieces: a search for a line's end goes on where the last one stopped,
-and what was consumed is cut off once a feed.  Memory: at most ``Limits.head`` bytes and one piece are kept.
+Time is linear in the number of bytes, however they are split: the search for the end of a line continues where the last
+one stopped, and consumed bytes are removed once for each feed.  Memory: at most ``Limits.head`` bytes and one piece are
+buffered.
 """
 
 from __future__ import annotations
@@ -28,12 +29,12 @@
 from stonetrack.wire.errors import ProtocolError, TooLarge
 
 _TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-_TARGET = re.compile(rb"[!-~]+")  # visible ASCII: no space, no control
-_VALUE_BAD = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+_TARGET = re.compile(rb"[!-~]+")  # visible ASCII: no spaces or control bytes
+_INVALID_VALUE = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 _CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,16})[ \t]*(;[^\x00-\x08\x0a-\x1f\x7f]*)?")
-_PLAIN_SIZE = re.compile(rb"[1-9A-Fa-f][0-9A-Fa-f]{0,6}")
+_SIMPLE_CHUNK_SIZE = re.compile(rb"[1-9A-Fa-f][0-9A-Fa-f]{0,6}")
 _STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: ([^\x00-\x08\x0a-\x1f\x7f]*))?")
-_NO_BODY = frozenset({204, 304})
+_BODYLESS_STATUSES = frozenset({204, 304})
 
 REASONS = {
     200: "OK",
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of one message, in bytes and lines."""
+    """Limits for one message: ``headers`` counts lines, all others count bytes."""
 
     head: int = 65_536
     start_line: int = 8_192
@@ -75,7 +76,7 @@
 
 
 class Headers:
-    """Header fields in order; names in lower case, values as latin-1 text without outer blanks."""
+    """Header fields in order; names in lower case, values as latin-1 text without surrounding white space."""
 
     __slots__ = ("items",)
 
@@ -83,14 +84,14 @@
         self.items = tuple(items)
 
     def get(self, name: str, default: str = "") -> str:
-        """The first value of a field, by its lower-case name."""
+        """The first value of a field, looked up by its lower-case name."""
         for key, value in self.items:
             if key == name:
                 return value
         return default
 
     def all(self, name: str) -> list[str]:
-        """Every value of a field, in order."""
+        """All values of a field, in order."""
         return [value for key, value in self.items if key == name]
 
     def tokens(self, name: str) -> list[str]:
@@ -115,14 +116,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """A request's start line and fields; ``keep_alive`` says whether another may follow."""
+    """A request line and header fields; ``keep_alive``: whether another request may follow on the connection."""
 
     method: str
     target: str
     headers: Headers
     keep_alive: bool
-    length: int | None  # None where it comes in chunks
-    accepts_chunked: bool = True  # whether the client understands an answer in chunks (HTTP/1.1)
+    length: int | None  # of the body in bytes; None for a chunked body
+    accepts_chunked: bool = True  # whether the client accepts a chunked response (HTTP/1.1)
 
     @property
     def path(self) -> str:
@@ -131,22 +132,22 @@
 
     @property
     def query(self) -> str:
-        """What follows the first question mark."""
+        """The part after the first question mark."""
         return self.target.partition("?")[2]
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """A response's status line and fields."""
+    """A status line and header fields."""
 
     status: int
     reason: str
     headers: Headers
     keep_alive: bool
-    length: int | None  # None where it comes in chunks or lasts until the connection closes
+    length: int | None  # of the body in bytes; None for a chunked or close-delimited body
 
 
-@dataclass(slots=True)  # not frozen: made for every piece, and a frozen one costs three times as much to make
+@dataclass(slots=True)  # not frozen: created for each piece, and a frozen instance takes three times as long to create
 class Data:
     """Some bytes of the body."""
 
@@ -164,7 +165,7 @@
 
 
 class Side(Enum):
-    """Whose messages are read."""
+    """Which kind of messages is parsed."""
 
     REQUESTS = "requests"
     RESPONSES = "responses"
@@ -172,45 +173,45 @@
 
 class _State(Enum):
     HEAD = "head"
-    LENGTH = "length"
-    SIZE = "chunk size"
-    CHUNK = "chunk"
-    GAP = "chunk end"
+    COUNTED_BODY = "length"
+    CHUNK_SIZE = "chunk size"
+    CHUNK_DATA = "chunk"
+    CHUNK_END = "chunk end"
     TRAILER = "trailer"
     UNTIL_CLOSE = "until close"
     FAILED = "failed"
 
 
 class MessageReader:
-    """Reads the messages of one direction of one connection."""
+    """Incremental parser for the messages in one direction of a connection."""
 
-    __slots__ = ("_buffer", "_lines", "_left", "_pos", "_scan", "_seen", "_side", "_state", "limits")
+    __slots__ = ("_buffer", "_lines", "_remaining", "_consumed", "_searched", "_size", "_side", "_state", "limits")
 
     def __init__(self, side: Side, limits: Limits | None = None) -> None:
         self.limits = limits or Limits()
         self._side = side
         self._buffer = bytearray()
-        self._pos = 0  # consumed
-        self._scan = 0  # searched for a line's end
+        self._consumed = 0  # start of the bytes not consumed yet
+        self._searched = 0  # the buffer holds no line end before this index
         self._state = _State.HEAD
-        self._lines: list[bytes] = []  # of the head or trailer so far
-        self._left = 0  # bytes of the body or chunk to come
-        self._seen = 0  # bytes of the head, or of a body in chunks, so far
+        self._lines: list[bytes] = []  # of the current head or trailer
+        self._remaining = 0  # bytes of the body or chunk still to come
+        self._size = 0  # bytes of the head, or of a chunked body, so far
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of a message has been read since the last one ended."""
+        """Whether no byte of a message is buffered or parsed since the last message ended."""
         return self._state is _State.HEAD and not self._lines and not self._buffer
 
     @property
     def state(self) -> str:
-        """What is being read, for errors and logs."""
+        """The part of the message that is expected next, for errors and logs."""
         return self._state.value
 
     def feed(self, data: bytes, messages: int = 1 << 30) -> list[Event]:
-        """Take what the socket gave; the events it completes, up to the end of so many messages.
+        """Parse received bytes; return the events that they complete, up to the end of ``messages`` messages.
 
-        What follows stays buffered for the next feed.  Raises ProtocolError; the reader then takes no more.
+        Bytes after that stay buffered for the next call.  Raises ProtocolError; the parser then accepts no more bytes.
         """
         if self._state is _State.FAILED:
             raise ProtocolError("the message before could not be read; nothing more is taken")
@@ -218,22 +219,22 @@
         events: list[Event] = []
         try:
             while messages > 0:
-                had = len(events)
+                before = len(events)
                 if not self._step(events):
                     break
-                messages -= len(events) > had and isinstance(events[-1], End)
+                messages -= len(events) > before and isinstance(events[-1], End)
         except ProtocolError:
             self._state = _State.FAILED
             self._buffer.clear()
             raise
-        if self._pos:
-            del self._buffer[: self._pos]
-            self._scan = max(0, self._scan - self._pos)
-            self._pos = 0
+        if self._consumed:
+            del self._buffer[: self._consumed]
+            self._searched = max(0, self._searched - self._consumed)
+            self._consumed = 0
         return events
 
     def eof(self) -> list[Event]:
-        """The peer has closed: the end of a body that lasts until then, or nothing between messages.
+        """The peer has closed its side: ends a close-delimited body; returns no event between messages.
 
         Raises ProtocolError within a message.
         """
@@ -244,141 +245,144 @@
             return []
         raise ProtocolError(f"the connection was closed within a message ({self._state.value})")
 
-    # One step of the machine: True if it got further.
+    # One step of the state machine; returns whether it made progress.
 
     def _step(self, events: list[Event]) -> bool:
         match self._state:
             case _State.HEAD | _State.TRAILER:
-                return self._block(events)
-            case _State.LENGTH | _State.CHUNK:
-                return self._counted(events)
-            case _State.SIZE:
-                if self._whole_chunks(events):
+                return self._read_field_line(events)
+            case _State.COUNTED_BODY | _State.CHUNK_DATA:
+                return self._read_counted(events)
+            case _State.CHUNK_SIZE:
+                if self._read_whole_chunks(events):
                     return True
-                line = self._line(self.limits.chunk_line, "chunk size line", 400)
-                return line is not None and self._chunk_size(line)
-            case _State.GAP:
-                if len(self._buffer) - self._pos < 2:
+                line = self._read_line(self.limits.chunk_line, "chunk size line", 400)
+                return line is not None and self._begin_chunk(line)
+            case _State.CHUNK_END:
+                if len(self._buffer) - self._consumed < 2:
                     return False
-                if self._buffer[self._pos : self._pos + 2] != b"\r\n":
+                if self._buffer[self._consumed : self._consumed + 2] != b"\r\n":
                     raise ProtocolError("a chunk is longer than its size says")
-                self._pos += 2
-                self._scan = self._pos
-                self._state = _State.SIZE
+                self._consumed += 2
+                self._searched = self._consumed
+                self._state = _State.CHUNK_SIZE
                 return True
             case _State.UNTIL_CLOSE:
-                if len(self._buffer) == self._pos:
+                if len(self._buffer) == self._consumed:
                     return False
-                events.append(Data(bytes(self._buffer[self._pos :])))
-                self._pos = len(self._buffer)
+                events.append(Data(bytes(self._buffer[self._consumed :])))
+                self._consumed = len(self._buffer)
                 return True
         return False
 
-    def _line(self, most: int, what: str, status: int) -> bytes | None:
-        """The next line without its CRLF, or None where it is not complete yet."""
-        end = self._buffer.find(b"\n", max(self._scan, self._pos))
-        length = (len(self._buffer) if end < 0 else end - 1) - self._pos
-        if length > most:
-            raise TooLarge(f"{what}: over {most} bytes", status)
+    def _read_line(self, limit: int, what: str, status: int) -> bytes | None:
+        """The next line without its CRLF, or None if it is not complete yet."""
+        end = self._buffer.find(b"\n", max(self._searched, self._consumed))
+        length = (len(self._buffer) if end < 0 else end - 1) - self._consumed
+        if length > limit:
+            raise TooLarge(f"{what}: over {limit} bytes", status)
         if end < 0:
-            self._scan = len(self._buffer)
+            self._searched = len(self._buffer)
             return None
-        if end == self._pos or self._buffer[end - 1] != 0x0D:
+        if end == self._consumed or self._buffer[end - 1] != 0x0D:
             raise ProtocolError(f"{what}: a line ends in a bare LF; CRLF is needed")
-        line = bytes(self._buffer[self._pos : end - 1])
-        self._pos = self._scan = end + 1
+        line = bytes(self._buffer[self._consumed : end - 1])
+        self._consumed = self._searched = end + 1
         return line
 
-    def _block(self, events: list[Event]) -> bool:
-        """One line of a head or a trailer."""
+    def _read_field_line(self, events: list[Event]) -> bool:
+        """Parse one line of a head or trailer."""
         first = self._state is _State.HEAD and not self._lines
         if first and self._side is Side.REQUESTS:
-            line = self._line(self.limits.start_line, "request line", 414)
+            line = self._read_line(self.limits.start_line, "request line", 414)
         else:
-            line = self._line(self.limits.head, "header line", 431)
+            line = self._read_line(self.limits.head, "header line", 431)
         if line is None:
-            if self._seen + len(self._buffer) - self._pos > self.limits.head:
+            if self._size + len(self._buffer) - self._consumed > self.limits.head:
                 raise TooLarge(f"headers: over {self.limits.head} bytes in all", 431)
             return False
-        self._seen += len(line) + 2
-        if self._seen > self.limits.head:
+        self._size += len(line) + 2
+        if self._size > self.limits.head:
             raise TooLarge(f"headers: over {self.limits.head} bytes in all", 431)
         if line:
             if len(self._lines) > self.limits.headers:
                 raise TooLarge(f"headers: over {self.limits.headers} lines", 431)
             self._lines.append(line)
             return True
-        if first:  # RFC 9112 2.2: an empty line before a request is passed over; one, here
-            if self._seen > 2 or self._side is Side.RESPONSES:
+        if first:  # RFC 9112, section 2.2: ignore an empty line before a request; only one is allowed here
+            if self._size > 2 or self._side is Side.RESPONSES:
                 raise ProtocolError("empty lines stand where a start line is needed")
             return True
-        lines, self._lines, self._seen = self._lines, [], 0
+        lines, self._lines, self._size = self._lines, [], 0
         if self._state is _State.TRAILER:
             self._state = _State.HEAD
-            events.append(End(_fields(lines)))
+            events.append(End(_parse_fields(lines)))
             return True
-        head = self._request(lines) if self._side is Side.REQUESTS else self._response(lines)
+        head = self._parse_request(lines) if self._side is Side.REQUESTS else self._parse_response(lines)
         events.append(head)
-        if self._state is _State.HEAD:  # no body: the message ends with its head
+        if self._state is _State.HEAD:  # no body: the message ends after its head
             events.append(End())
         return True
 
-    def _counted(self, events: list[Event]) -> bool:
-        take = min(self._left, len(self._buffer) - self._pos)
+    def _read_counted(self, events: list[Event]) -> bool:
+        take = min(self._remaining, len(self._buffer) - self._consumed)
         if not take:
             return False
-        events.append(Data(bytes(self._buffer[self._pos : self._pos + take])))
-        self._pos += take
-        self._scan = self._pos
-        self._left -= take
-        if self._left == 0:
-            if self._state is _State.CHUNK:
-                self._state = _State.GAP
+        events.append(Data(bytes(self._buffer[self._consumed : self._consumed + take])))
+        self._consumed += take
+        self._searched = self._consumed
+        self._remaining -= take
+        if self._remaining == 0:
+            if self._state is _State.CHUNK_DATA:
+                self._state = _State.CHUNK_END
             else:
                 self._state = _State.HEAD
                 events.append(End())
         return True
 
-    def _whole_chunks(self, events: list[Event]) -> bool:
-        """All chunks that are there whole, as one ``Data``: the usual case of a stream, at a third of the cost of
-        going through the states one by one.  Whatever is not plain is left to those."""
-        buffer, at, seen, most = self._buffer, self._pos, self._seen, self.limits.body
+    def _read_whole_chunks(self, events: list[Event]) -> bool:
+        """Parse all complete chunks in the buffer into one ``Data``.
+
+        This is the common case for a stream, and takes a third of the time of stepping through the states.  Chunks with
+        extensions, leading zeros or errors are left to the state machine.
+        """
+        buffer, at, total, limit = self._buffer, self._consumed, self._size, self.limits.body
         data = []
         while True:
             end = buffer.find(b"\r\n", at, at + 10)
-            if end < 0 or not _PLAIN_SIZE.fullmatch(buffer, at, end):
+            if end < 0 or not _SIMPLE_CHUNK_SIZE.fullmatch(buffer, at, end):
                 break
             size = int(buffer[at:end], 16)
             stop = end + 2 + size
-            if seen + size > most or buffer[stop : stop + 2] != b"\r\n":
+            if total + size > limit or buffer[stop : stop + 2] != b"\r\n":
                 break
-            seen += size
+            total += size
             data.append(buffer[end + 2 : stop])
             at = stop + 2
         if not data:
             return False
         events.append(Data(b"".join(data)))
-        self._pos = self._scan = at
-        self._seen = seen
+        self._consumed = self._searched = at
+        self._size = total
         return True
 
-    def _chunk_size(self, line: bytes) -> bool:
+    def _begin_chunk(self, line: bytes) -> bool:
         found = _CHUNK_SIZE.fullmatch(line)
         if found is None:
             raise ProtocolError(f"chunk size {line[:40]!r}: 1 to 16 hexadecimal digits are needed")
         size = int(found.group(1), 16)
-        self._seen += size
-        if self._seen > self.limits.body:
+        self._size += size
+        if self._size > self.limits.body:
             raise TooLarge(f"body: over {self.limits.body} bytes", 413)
         if size:
-            self._left, self._state = size, _State.CHUNK
+            self._remaining, self._state = size, _State.CHUNK_DATA
         else:
-            self._state, self._seen = _State.TRAILER, 0
+            self._state, self._size = _State.TRAILER, 0
         return True
 
     # Heads.
 
-    def _request(self, lines: list[bytes]) -> RequestHead:
+    def _parse_request(self, lines: list[bytes]) -> RequestHead:
         parts = lines[0].split(b" ")
         if len(parts) != 3 or not _TOKEN.fullmatch(parts[0]) or not _TARGET.fullmatch(parts[1]):
             raise ProtocolError(f"request line {lines[0][:80]!r}: METHOD TARGET HTTP/1.1 is needed")
@@ -386,39 +390,41 @@
             raise ProtocolError(f"request line: unknown version {parts[2][:20]!r}")
         if parts[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
             raise ProtocolError(f"version {parts[2].decode()}: HTTP/1.1 and HTTP/1.0 are served", 505)
-        new = parts[2] == b"HTTP/1.1"
-        headers = _fields(lines[1:])
-        if new and len(headers.all("host")) != 1:
+        http_1_1 = parts[2] == b"HTTP/1.1"
+        headers = _parse_fields(lines[1:])
+        if http_1_1 and len(headers.all("host")) != 1:
             raise ProtocolError("exactly one Host header is needed")
-        length = self._framing(headers, new)
+        length = self._body_length(headers, http_1_1)
         if length == -1:
             length = 0
         self._begin_body(length)
-        return RequestHead(parts[0].decode(), parts[1].decode(), headers, _keeps(headers, new), length, new)
+        return RequestHead(
+            parts[0].decode(), parts[1].decode(), headers, _keeps_alive(headers, http_1_1), length, http_1_1
+        )
 
-    def _response(self, lines: list[bytes]) -> ResponseHead:
+    def _parse_response(self, lines: list[bytes]) -> ResponseHead:
         found = _STATUS_LINE.fullmatch(lines[0])
         if found is None:
             raise ProtocolError(f"status line {lines[0][:80]!r}: HTTP/1.1 STATUS REASON is needed")
-        new, status = found.group(1) == b"1", int(found.group(2))
-        headers = _fields(lines[1:])
-        length = self._framing(headers, new)
-        if status < 200 or status in _NO_BODY:
+        http_1_1, status = found.group(1) == b"1", int(found.group(2))
+        headers = _parse_fields(lines[1:])
+        length = self._body_length(headers, http_1_1)
+        if status < 200 or status in _BODYLESS_STATUSES:
             length = 0
-        keep = _keeps(headers, new)
+        keep = _keeps_alive(headers, http_1_1)
         if length == -1:
             self._state, keep, length = _State.UNTIL_CLOSE, False, None
         else:
             self._begin_body(length)
         return ResponseHead(status, (found.group(3) or b"").decode("latin-1"), headers, keep, length)
 
-    def _framing(self, headers: Headers, new: bool) -> int | None:
-        """Body length: a number, None for chunks, -1 where neither field stands."""
+    def _body_length(self, headers: Headers, http_1_1: bool) -> int | None:
+        """Body length in bytes, None for a chunked body, -1 if neither header is present (RFC 9112, section 6.3)."""
         codings, lengths = headers.all("transfer-encoding"), headers.all("content-length")
         if codings and lengths:
             raise ProtocolError("both Transfer-Encoding and Content-Length stand; one is allowed")
         if codings:
-            if not new or len(codings) != 1 or codings[0].lower() != "chunked":
+            if not http_1_1 or len(codings) != 1 or codings[0].lower() != "chunked":
                 raise ProtocolError(f"Transfer-Encoding {codings!r}: only chunked is served", 501)
             return None
         if not lengths:
@@ -434,24 +440,24 @@
 
     def _begin_body(self, length: int | None) -> None:
         if length is None:
-            self._state, self._seen = _State.SIZE, 0
+            self._state, self._size = _State.CHUNK_SIZE, 0
         elif length:
-            self._state, self._left = _State.LENGTH, length
+            self._state, self._remaining = _State.COUNTED_BODY, length
 
 
-def _fields(lines: list[bytes]) -> Headers:
+def _parse_fields(lines: list[bytes]) -> Headers:
     items = []
     for line in lines:
         name, colon, value = line.partition(b":")
         if not colon or not _TOKEN.fullmatch(name):
             raise ProtocolError(f"header line {line[:60]!r}: NAME: VALUE is needed (no folding, no blank before :)")
         value = value.strip(b" \t")
-        if _VALUE_BAD.search(value):
+        if _INVALID_VALUE.search(value):
             raise ProtocolError(f"header {name.decode()}: control bytes in its value")
         items.append((name.decode().lower(), value.decode("latin-1")))
     return Headers(items)
 
 
-def _keeps(headers: Headers, new: bool) -> bool:
+def _keeps_alive(headers: Headers, http_1_1: bool) -> bool:
     options = headers.tokens("connection")
-    return "close" not in options if new else "keep-alive" in options
+    return "close" not in options if http_1_1 else "keep-alive" in options
