--- a/stonetrack/engines/attempt.py
+++ b/stonetrack/engines/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt on a socket: writes the request as room comes, reads the answer, ends with one outcome."""
+"""One attempt on a socket: writes the request without blocking, reads the answer, ends with exactly one outcome."""
 
 from __future__ import annotations
 
@@ -12,94 +12,96 @@
 from stonetrack.node.ports import AttemptEvent, AttemptResult
 from stonetrack.node.sockets import ResourceExhausted
 
-_SETTLE_MS = 5  # waited for the last byte after the answer's end, so that the connection can be kept
-_SHORT_MOST = 60  # calls in a row for which the machine was short, each tried some times, before an attempt is given up
+_END_WAIT_MS = 5  # wait for the end of the message after the outcome, so that the connection can be reused
+_MAX_EXHAUSTED = 60  # consecutive calls without resources, each of them retried, after which an attempt is cancelled
 
 
 class Exchange(Protocol):
-    """What reads one answer of an engine, by the protocol that is spoken with it."""
+    """Parses one answer of an engine; the implementation depends on the engine's protocol."""
 
     @property
     def received(self) -> bool:
-        """Whether any byte of an answer came."""
+        """Whether any byte of an answer has been received."""
 
     @property
     def reusable(self) -> bool:
-        """Whether the connection may carry another request."""
+        """Whether the connection may be used for another request."""
 
     @property
     def fully_read(self) -> bool:
-        """Whether the answer's last byte has come, after its outcome was given."""
+        """Whether the answer has been received to its last byte, which may follow after the outcome."""
 
     def feed(self, data: bytes) -> list[AttemptEvent]:
-        """What these bytes tell."""
+        """Parse received bytes; return the events that they complete."""
 
     def eof(self) -> list[AttemptEvent]:
-        """The engine has closed."""
+        """The engine has closed the connection; return the final events."""
 
-    def reset(self, why: str) -> list[AttemptEvent]:
-        """The connection broke."""
+    def reset(self, reason: str) -> list[AttemptEvent]:
+        """The connection was lost for this reason; return the final events."""
 
 
 class SocketAttempt:
-    """See ``ports.Attempt``; used by one thread.  ``unsent`` is the outcome where the request did not go out whole.
+    """Implements ``ports.Attempt``; not thread-safe.
 
-    ``abandoned`` is told where an attempt that went out whole ends without its engine's word, and takes over its
-    connection, if that still stands: this side's sending has ended on it."""
+    ``cancel_timeout`` is in seconds.  ``unsent_outcome`` is the outcome if the connection is lost before the whole
+    request was sent.  ``on_abandoned`` is called if an attempt whose request was sent whole ends without an answer or
+    close from its engine; it takes over the connection (None if it is lost), whose sending side is shut down.
+    """
 
-    __slots__ = ("_abandoned", "_confirm", "_exchange", "_give_back", "_out", "_short", "_sock", "_unsent",
-                 "__weakref__")  # fmt: skip
+    __slots__ = ("_on_abandoned", "_cancel_timeout", "_exchange", "_return_connection", "_unsent_bytes", "_exhausted",
+                 "_sock", "_unsent_outcome", "__weakref__")  # fmt: skip
 
     def __init__(
         self,
         sock: socket.socket,
         request: bytes,
         exchange: Exchange,
-        confirm: float,
-        give_back: Callable[[socket.socket], None],
-        unsent: Outcome = Outcome.NOT_SENT,
-        abandoned: Callable[[socket.socket | None], None] | None = None,
+        cancel_timeout: float,
+        return_connection: Callable[[socket.socket], None],
+        unsent_outcome: Outcome = Outcome.NOT_SENT,
+        on_abandoned: Callable[[socket.socket | None], None] | None = None,
     ) -> None:
         self._sock: socket.socket | None = sock
-        self._out = memoryview(request)
+        self._unsent_bytes = memoryview(request)
         self._exchange = exchange
-        self._confirm = confirm
-        self._give_back = give_back
-        self._unsent = unsent
-        self._abandoned = abandoned
-        self._short = 0  # calls in a row for which the machine was short
+        self._cancel_timeout = cancel_timeout
+        self._return_connection = return_connection
+        self._unsent_outcome = unsent_outcome
+        self._on_abandoned = on_abandoned
+        self._exhausted = 0  # consecutive calls that failed because resources were exhausted
 
     def fileno(self) -> int:
-        """The socket's descriptor, -1 where the attempt is over."""
+        """The socket's file descriptor, -1 after the end of the attempt."""
         return self._sock.fileno() if self._sock is not None else -1
 
     @property
     def has_unsent_data(self) -> bool:
-        """Whether part of the request is still to be written."""
-        return len(self._out) > 0
+        """Whether part of the request has not been written yet."""
+        return len(self._unsent_bytes) > 0
 
     def push(self) -> list[AttemptEvent]:
-        """Write what the socket takes."""
+        """Write as much as the socket accepts without blocking."""
         sock = self._sock
         if sock is None:
             return []
         try:
-            while self._out:
-                self._out = self._out[sockets.send(sock, self._out) :]
-                self._short = 0
+            while self._unsent_bytes:
+                self._unsent_bytes = self._unsent_bytes[sockets.send(sock, self._unsent_bytes) :]
+                self._exhausted = 0
         except BlockingIOError:
             pass
         except ResourceExhausted as error:
-            return self._out_of_means(error)
+            return self._resources_exhausted(error)
         except OSError as error:
-            if sockets.readable(sock):  # it may have answered before it closed
+            if sockets.readable(sock):  # the engine may have answered before it closed
                 return self._read(sock)
-            return self._broke(f"the connection broke while the request was sent: {error}")
+            return self._connection_lost(f"the connection broke while the request was sent: {error}")
         return []
 
     def process_io(self) -> list[AttemptEvent]:
-        """Write and read what goes without blocking."""
-        events = self.push() if self._out else []
+        """Write and read as much as is possible without blocking."""
+        events = self.push() if self._unsent_bytes else []
         if self._sock is not None and not any(isinstance(event, AttemptResult) for event in events):
             events += self._read(self._sock)
         return events
@@ -110,88 +112,88 @@
         except BlockingIOError:
             return []
         except ResourceExhausted as error:
-            return self._out_of_means(error)
+            return self._resources_exhausted(error)
         except OSError as error:
-            return self._broke(f"the connection broke: {error}")
-        self._short = 0
+            return self._connection_lost(f"the connection broke: {error}")
+        self._exhausted = 0
         if data:
             events = self._exchange.feed(data)
-        elif self._out and not self._exchange.received:
-            return self._broke("the engine closed before it took the whole request")
+        elif self._unsent_bytes and not self._exchange.received:
+            return self._connection_lost("the engine closed before it received the whole request")
         else:
             events = self._exchange.eof()
         if events and isinstance(events[-1], AttemptResult):
-            self._settle(sock, bool(data))
-            self._note_abandoned(events)
+            self._finish(sock, bool(data))
+            self._report_abandoned(events)
         return events
 
-    def _note_abandoned(self, events: list[AttemptEvent]) -> None:
-        """The connection is gone: where it broke, what the engine did is not known."""
+    def _report_abandoned(self, events: list[AttemptEvent]) -> None:
+        """Call ``on_abandoned`` if the outcome is RESET: whether the engine ran the request is unknown."""
         over = events[-1] if events else None
-        if self._abandoned is not None and isinstance(over, AttemptResult) and over.outcome is Outcome.RESET:
-            self._abandoned(None)
+        if self._on_abandoned is not None and isinstance(over, AttemptResult) and over.outcome is Outcome.RESET:
+            self._on_abandoned(None)
 
-    def _out_of_means(self, error: ResourceExhausted) -> list[AttemptEvent]:
-        """This machine can't send or read just now: no fault of the engine's, so it is tried again for a while."""
-        self._short += 1
-        if self._short < _SHORT_MOST:
+    def _resources_exhausted(self, error: ResourceExhausted) -> list[AttemptEvent]:
+        """Local resources are exhausted, which is not the engine's fault: retry up to ``_MAX_EXHAUSTED`` calls."""
+        self._exhausted += 1
+        if self._exhausted < _MAX_EXHAUSTED:
             return []
-        unsent = bool(self._out) and not self._exchange.received
-        self._drop()
-        if not unsent and self._abandoned is not None:
-            self._abandoned(None)
+        unsent = bool(self._unsent_bytes) and not self._exchange.received
+        self._close()
+        if not unsent and self._on_abandoned is not None:
+            self._on_abandoned(None)
         return [AttemptResult(Outcome.NOT_SENT if unsent else Outcome.CANCELLED, str(error))]
 
-    def _broke(self, why: str) -> list[AttemptEvent]:
-        """The connection is gone.  What the engine can't have taken whole, it can't have run (RFC 9112, 8)."""
-        unsent = bool(self._out) and not self._exchange.received
-        self._drop()
+    def _connection_lost(self, reason: str) -> list[AttemptEvent]:
+        """The connection is lost.  An engine can't run a request that it received in part (RFC 9112, section 8)."""
+        unsent = bool(self._unsent_bytes) and not self._exchange.received
+        self._close()
         if unsent:
-            return [AttemptResult(self._unsent, why)]
-        events = self._exchange.reset(why)
-        self._note_abandoned(events)
+            return [AttemptResult(self._unsent_outcome, reason)]
+        events = self._exchange.reset(reason)
+        self._report_abandoned(events)
         return events
 
-    def _settle(self, sock: socket.socket, alive: bool) -> None:
-        """After the outcome: keep the connection where its answer is whole, else close it."""
-        if alive and not self._out and self._exchange.reusable:
+    def _finish(self, sock: socket.socket, peer_open: bool) -> None:
+        """After the outcome: return the connection to the pool if the answer was read to its end, else close it."""
+        if peer_open and not self._unsent_bytes and self._exchange.reusable:
             if not self._exchange.fully_read:
                 with contextlib.suppress(OSError):
-                    if sockets.readable(sock, _SETTLE_MS):
+                    if sockets.readable(sock, _END_WAIT_MS):
                         self._exchange.feed(sockets.receive(sock, 4_096))
             if self._exchange.fully_read and self._exchange.reusable:
                 self._sock = None
-                self._give_back(sock)
+                self._return_connection(sock)
                 return
-        self._drop()
+        self._close()
 
-    def _drop(self) -> None:
+    def _close(self) -> None:
         if self._sock is not None:
             sockets.close(self._sock)
             self._sock = None
 
     def abort(self) -> None:
-        """Take the attempt back so that the engine has seen it before the next one starts.
+        """Cancel the attempt, and wait until the engine has noticed, so that attempts do not overlap.
 
-        Our side is closed first; an engine that lives closes its own at once, and that is waited for, so the order
-        of the two attempts holds at both engines whatever the ways between.  One that does not is reset, or watched by
-        whoever takes abandoned attempts over.
+        The sending side is shut down first.  A live engine then closes its side at once; waiting for that, up to
+        ``cancel_timeout`` seconds for each read, keeps the order of two attempts at different engines whatever the
+        network delays.  If the engine does not close, the connection is reset, or passed to ``on_abandoned``.
 
-        Owed: ``Obligation.ATTEMPT``.
+        Fulfils ``Obligation.ATTEMPT``.
         """
         if (sock := self._sock) is None:
             return
         self._sock = None
-        seen = False
+        closed = False
         with contextlib.suppress(OSError):
             sock.shutdown(socket.SHUT_WR)
-            waited = 0
-            while waited < 64 and sockets.readable(sock, self._confirm * 1000.0):
-                waited += 1
+            reads = 0
+            while reads < 64 and sockets.readable(sock, self._cancel_timeout * 1000.0):
+                reads += 1
                 if not sockets.receive(sock, 65_536):
-                    seen = True
+                    closed = True
                     break
-        if seen or self._out or self._abandoned is None:
+        if closed or self._unsent_bytes or self._on_abandoned is None:
             sockets.reset(sock)
         else:
-            self._abandoned(sock)
+            self._on_abandoned(sock)
--- a/stonetrack/engines/background_calls.py
+++ b/stonetrack/engines/background_calls.py
@@ -1,7 +1,7 @@
-"""Background calls at engines: places, releases, probes.  A few threads; nothing waits for them.
+"""Calls to engines on background threads: reservations, releases and probes.  Requests do not wait for them.
 
-Places and releases of one request are kept in order: a release that is decided while its place is still being asked
-for is carried out after that answer.
+The calls for one request's reservation stay in order: a release that is decided while the reservation is being made is
+sent after the answer to the reservation.
 """
 
 from __future__ import annotations
@@ -25,101 +25,107 @@
 
 
 @dataclass(slots=True)
-class _Hold:
-    """A place that is asked for."""
+class _Reservation:
+    """A reservation that is being made."""
 
     server: str
-    number: int  # attempt during which it was asked
+    attempt_number: int  # number of the attempt that it is made for
     sent: bool = False
-    dropped: bool = False
-    then: Callable[[], None] | None = None  # instead of telling the answer
+    cancelled: bool = False
+    then: Callable[[], None] | None = None  # called after the answer, in place of the caller's callback
 
 
 class BackgroundCalls:
-    """Runs the calls on ``threads`` threads, with at most ``most`` waiting."""
+    """Runs calls on ``threads`` threads, with at most ``max_waiting`` queued;
+    further calls are dropped and counted.
+
+    ``timeout`` is in seconds, ``release_within`` in nanoseconds.
+    """
 
     def __init__(
         self,
-        find: Callable[[str], Engine | None],
+        engine_of: Callable[[str], Engine | None],
         clock: Callable[[], int],
         *,
         instance: str,
         timeout: float,
         release_within: int,
-        probed: Callable[[api.ProbeEnded], None],
+        on_probed: Callable[[api.ProbeEnded], None],
         threads: int = 4,
-        most: int = 2_000,
-        listed: Callable[[str], bool] = lambda server: True,
+        max_waiting: int = 2_000,
+        is_listed: Callable[[str], bool] = lambda server: True,
         seed: int = 0,
         log: Callable[[str], None] = lambda text: None,
     ) -> None:
-        self._find, self._clock, self._instance = find, clock, instance
-        self._timeout, self._probed = timeout, probed  # see set_timeout()
-        self._jobs: queue.Queue[Callable[[], None] | None] = queue.Queue(most)
-        self._listed = listed
-        self._releasing = ReleaseWorkers(clock, release_within, threads, self._release, seed=seed, log=log)
-        self._holding: dict[str, _Hold] = {}  # places asked for and not answered yet, by request
-        self._hold_lock = threading.Lock()
-        self.dropped = 0
-        self._threads = [restarting_thread(f"engines-{n}", self._work, log) for n in range(threads)]
+        self._engine_of, self._clock, self._instance = engine_of, clock, instance
+        self._timeout, self._on_probed = timeout, on_probed
+        self._queue: queue.Queue[Callable[[], None] | None] = queue.Queue(max_waiting)
+        self._is_listed = is_listed
+        self._release_workers = ReleaseWorkers(clock, release_within, threads, self._release, seed=seed, log=log)
+        self._reservations: dict[str, _Reservation] = {}  # sent or queued, without an answer yet, by request
+        self._reservations_lock = threading.Lock()
+        self.dropped_calls = 0
+        self._threads = [restarting_thread(f"engines-{n}", self._run_calls, log) for n in range(threads)]
 
     def set_timeout(self, seconds: float) -> None:
-        """How long a call may take from here on."""
+        """Set the timeout of the calls that begin from now on."""
         self._timeout = seconds
 
     def start(self) -> None:
         """Start the threads."""
-        self._releasing.start()
+        self._release_workers.start()
         for thread in self._threads:
             thread.start()
 
     def stop(self, wait: float) -> None:
-        """Let open releases end for so many seconds, then stop."""
-        self._releasing.stop(wait)
+        """Wait up to ``wait`` seconds for open releases, then stop."""
+        self._release_workers.stop(wait)
         for _ in range(len(self._threads)):
             try:
-                self._jobs.put_nowait(None)
+                self._queue.put_nowait(None)
             except queue.Full:
                 break
 
     @property
     def open_releases(self) -> int:
-        """States and places not let go of yet."""
-        return len(self._releasing)
+        """KV states and reservations whose release has not succeeded yet."""
+        return len(self._release_workers)
 
     @property
     def dropped_releases(self) -> int:
-        """Releases given up: what they were for stays held at engines that run."""
-        return self._releasing.queue.dropped
+        """Releases that were dropped; what they should release leaks at engines that keep running."""
+        return self._release_workers.queue.dropped
 
     @property
     def unreachable_engines(self) -> int:
-        """Engines that releases wait for."""
-        return self._releasing.queue.unreachable_engines
+        """Unreachable engines that releases wait for."""
+        return self._release_workers.queue.unreachable_engines
 
-    def _headers(self, engine: Engine, request: str, number: int = 0) -> list[tuple[str, str]]:
+    def _headers(self, engine: Engine, request_id: str, attempt_number: int = 0) -> list[tuple[str, str]]:
         return [
-            ("X-Attempt", str(number)),
+            ("X-Attempt", str(attempt_number)),
             ("Host", f"{engine.host}:{engine.port}"),
             ("Content-Type", "application/json"),
-            ("X-Request-Id", request),
+            ("X-Request-Id", request_id),
             ("X-Stonetrack-Instance", self._instance),
             ("Connection", "close"),
         ]
 
-    def _post(self, engine: Engine, target: str, request: str, number: int, body: dict[str, Any]) -> int:
-        message = writer.request("POST", target, self._headers(engine, request, number), msgspec.json.encode(body))
+    def _post(self, engine: Engine, target: str, request_id: str, attempt_number: int, body: dict[str, Any]) -> int:
+        message = writer.request(
+            "POST", target, self._headers(engine, request_id, attempt_number), msgspec.json.encode(body)
+        )
         return call(engine.host, engine.port, message, self._timeout)[0]
 
-    def _work(self) -> None:
-        while (job := self._jobs.get()) is not None:
-            job()
+    def _run_calls(self) -> None:
+        while (background_call := self._queue.get()) is not None:
+            background_call()
 
-    def _submit(self, job: Callable[[], None]) -> bool:
+    def _enqueue(self, background_call: Callable[[], None]) -> bool:
         try:
-            self._jobs.put_nowait(job)
+            self._queue.put_nowait(background_call)
         except queue.Full:
-            self.dropped += 1
+            self.dropped_calls += 1
             return False
         return True
 
@@ -127,101 +133,115 @@
 
     def probe(self, server: str) -> None:
         """Read the engine's metrics page."""
-        self._submit(lambda: self._probe(server))
+        self._enqueue(lambda: self._probe(server))
 
     def _probe(self, server: str) -> None:
-        engine = self._find(server)
+        engine = self._engine_of(server)
         if engine is None:
             return
         since = self._clock()
-        request = writer.request("GET", "/metrics", self._headers(engine, f"probe-{server}"))
+        message = writer.request("GET", "/metrics", self._headers(engine, f"probe-{server}"))
         try:
-            status, body = call(engine.host, engine.port, request, self._timeout)
+            status, body = call(engine.host, engine.port, message, self._timeout)
             outcome = api.Outcome.SERVED if status == 200 else api.Outcome.ERROR
             report = load.from_metrics(body.decode("utf-8", "replace")) if status == 200 else None
         except CallFailed as error:
             outcome, report = error.outcome, None
-        self._probed(api.ProbeEnded(server, outcome, self._clock() - since, report))
-
-    # Places.
-
-    def reserve(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
-        """Ask a writer for a place; ``answer`` is called unless it can't be heard or is no longer wanted."""
-        asked = _Hold(server, number)
-        with self._hold_lock:
-            self._holding[request] = asked
-        if not self._submit(lambda: self._hold(request, asked, answer)):
-            with self._hold_lock:
-                self._holding.pop(request, None)
-
-    def _hold(self, request: str, asked: _Hold, answer: Callable[[bool], None]) -> None:
-        with self._hold_lock:
-            if asked.dropped:
+        self._on_probed(api.ProbeEnded(server, outcome, self._clock() - since, report))
+
+    # Reservations.
+
+    def reserve(self, request_id: str, server: str, attempt_number: int, callback: Callable[[bool], None]) -> None:
+        """InferenceRequest a decode engine for a reservation.
+
+        ``callback`` gets whether it was made; it is not called if that fails or the reservation is no longer needed.
+        """
+        reservation = _Reservation(server, attempt_number)
+        with self._reservations_lock:
+            self._reservations[request_id] = reservation
+        if not self._enqueue(lambda: self._run_reservation(request_id, reservation, callback)):
+            with self._reservations_lock:
+                self._reservations.pop(request_id, None)
+
+    def _run_reservation(self, request_id: str, reservation: _Reservation, callback: Callable[[bool], None]) -> None:
+        with self._reservations_lock:
+            if reservation.cancelled:
                 return
-            asked.sent = True
-        engine = self._find(asked.server)
-        heard: bool | None = None
+            reservation.sent = True
+        engine = self._engine_of(reservation.server)
+        reserved: bool | None = None
         if engine is not None and engine.kind.hold:
             try:
-                heard = self._post(engine, protocol.RESERVE_PATH, request, asked.number, {"request_id": request}) in (
+                reserved = self._post(
+                    engine, protocol.RESERVE_PATH, request_id, reservation.attempt_number, {"request_id": request_id}
+                ) in (
                     200,
                     202,
                     204,
                 )
             except CallFailed:
-                heard = None  # not heard: it may hold one, so a release still goes there
-        with self._hold_lock:
-            if self._holding.get(request) is asked:
-                del self._holding[request]
-            follows = asked.then
-        if follows is not None:
-            follows()
-        elif heard is not None:
-            answer(heard)
-
-    def cancel_reservation(self, request: str) -> None:
-        """The request goes to a writer now: a place not asked for yet is not, one asked for and not answered yet may
-        come too late to be used and is let go of after its answer."""
-        with self._hold_lock:
-            if (asked := self._drop_hold(request)) is not None:
-                asked.then = lambda: self._releasing.add(
-                    [PendingRelease(request, asked.server, asked.number, None, self._clock())]
+                reserved = None  # the reservation may have been made, so a release is still sent
+        with self._reservations_lock:
+            if self._reservations.get(request_id) is reservation:
+                del self._reservations[request_id]
+            follow_up = reservation.then
+        if follow_up is not None:
+            follow_up()
+        elif reserved is not None:
+            callback(reserved)
+
+    def cancel_reservation(self, request_id: str) -> None:
+        """The request is sent to a decode engine now, so a reservation that is still being made comes too late.
+
+        If it has not been sent yet, it is not sent; if it has been sent, it is released after its answer.
+        """
+        with self._reservations_lock:
+            if (reservation := self._cancel_unsent(request_id)) is not None:
+                reservation.then = lambda: self._release_workers.add(
+                    [PendingRelease(request_id, reservation.server, reservation.attempt_number, None, self._clock())]
                 )
 
-    def _drop_hold(self, request: str) -> _Hold | None:
-        """Take back a place not asked for yet; the one that is being asked for, if any.  Under the lock."""
-        asked = self._holding.get(request)
-        if asked is None or asked.sent:
-            return asked
-        asked.dropped = True
-        del self._holding[request]
+    def _cancel_unsent(self, request_id: str) -> _Reservation | None:
+        """Cancel a reservation that was not sent yet; return one that was sent, if any.  Requires the lock."""
+        reservation = self._reservations.get(request_id)
+        if reservation is None or reservation.sent:
+            return reservation
+        reservation.cancelled = True
+        del self._reservations[request_id]
         return None
 
     # Releases.
 
-    def release(self, request: str, reader: str, state: dict[str, Any] | None, place: str, number: int) -> None:
-        """Let go of a state and a place, with repeats."""
+    def release(
+        self,
+        request_id: str,
+        prefill_server: str,
+        state: dict[str, Any] | None,
+        decode_server: str,
+        attempt_number: int,
+    ) -> None:
+        """Release a KV state and a reservation, with retries; an empty engine name releases nothing."""
         now = self._clock()
-        items = [PendingRelease(request, reader, number, state or {}, now)] if reader else []
-        if place:
-            let_go = PendingRelease(request, place, number, None, now)
-            with self._hold_lock:
-                asked = self._drop_hold(request)
-                if asked is not None and asked.server == place:
-                    asked.then = lambda: self._releasing.add([let_go])
+        items = [PendingRelease(request_id, prefill_server, attempt_number, state or {}, now)] if prefill_server else []
+        if decode_server:
+            release_reservation = PendingRelease(request_id, decode_server, attempt_number, None, now)
+            with self._reservations_lock:
+                reservation = self._cancel_unsent(request_id)
+                if reservation is not None and reservation.server == decode_server:
+                    reservation.then = lambda: self._release_workers.add([release_reservation])
                 else:
-                    items.append(let_go)
-        self._releasing.add(items)
+                    items.append(release_reservation)
+        self._release_workers.add(items)
 
     def _release(self, item: PendingRelease) -> ReleaseResult:
-        engine = self._find(item.server)
+        engine = self._engine_of(item.server)
         if engine is None or not engine.kind.release:
-            return ReleaseResult.DONE  # gone with all it held, or lets go by its own time-out
+            return ReleaseResult.DONE  # the engine is gone with all held state, or releases it by its own timeout
         body: dict[str, Any] = {"request_id": item.request, "attempt": item.attempt}
         if item.state is not None:
             body["kv_transfer_params"] = item.state
         try:
             status = self._post(engine, protocol.RELEASE_PATH, item.request, item.attempt, body)
         except CallFailed:
-            return ReleaseResult.UNREACHABLE if self._listed(item.server) else ReleaseResult.DELISTED
+            return ReleaseResult.UNREACHABLE if self._is_listed(item.server) else ReleaseResult.DELISTED
         return ReleaseResult.DONE if status in (200, 202, 204, 404) else ReleaseResult.RETRY
--- a/stonetrack/engines/calls.py
+++ b/stonetrack/engines/calls.py
@@ -1,4 +1,4 @@
-"""One short call on a connection of its own: the request out, its whole answer in."""
+"""A blocking HTTP call on a new connection: sends the request and reads the whole answer."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CallFailed(OSError):
-    """A call without a usable answer."""
+    """A call that got no usable answer; ``outcome`` says how it failed."""
 
     def __init__(self, text: str, outcome: api.Outcome = api.Outcome.ERROR) -> None:
         super().__init__(text)
@@ -19,20 +19,25 @@
 
 
 def call(host: str, port: int, request: bytes, timeout: float, limits: http1.Limits = _LIMITS) -> tuple[int, bytes]:
-    """One request on a connection of its own: status and body.  Raises CallFailed."""
+    """Send one request on a new connection; return status and body.  Raises CallFailed."""
     head, body = exchange(host, port, request, timeout, limits)
     return head.status, body
 
 
 def exchange(
-    host: str, port: int, request: bytes, timeout: float, limits: http1.Limits = _LIMITS, connect: float | None = None
+    host: str,
+    port: int,
+    request: bytes,
+    timeout: float,
+    limits: http1.Limits = _LIMITS,
+    connect_timeout: float | None = None,
 ) -> tuple[http1.ResponseHead, bytes]:
-    """One request on a connection of its own: the answer's head and body.  Raises CallFailed.
+    """Send one request on a new connection; return the answer's head and body.  Raises CallFailed.
 
-    ``timeout`` bounds the time without a byte, ``connect`` (by default as much) that until there is a connection.
+    ``timeout`` limits each wait for bytes, ``connect_timeout`` (default: ``timeout``) the time to connect; in seconds.
     """
     try:
-        sock = sockets.connect(host, port, timeout if connect is None else connect)
+        sock = sockets.connect(host, port, timeout if connect_timeout is None else connect_timeout)
     except sockets.ResourceExhausted as error:
         raise CallFailed(f"{host}:{port}: {error}", api.Outcome.NOT_SENT) from None
     except OSError as error:
--- a/stonetrack/engines/client.py
+++ b/stonetrack/engines/client.py
@@ -1,4 +1,4 @@
-"""The engines' side put together (``ports.Engines``): who is where, attempts, background calls."""
+"""Implements ``ports.Engines``: engine addresses, attempts and background calls."""
 
 from __future__ import annotations
 
@@ -21,62 +21,62 @@
 
 
 class EngineClient:
-    """Reaches the engines of the current list."""
+    """Communicates with the engines of the current server list."""
 
     def __init__(
         self,
         settings: Node,
         clock: Callable[[], int],
         instance: str,
-        probed: Callable[[api.ProbeEnded], None],
+        on_probed: Callable[[api.ProbeEnded], None],
         acting_of: Callable[[str], str] = lambda request: "",
     ) -> None:
         timing, limits, routing = settings.timing, settings.limits, settings.routing
         self._instance, self._acting_of = instance, acting_of
-        self._connect = routing.connect_timeout_ms / 1000.0
-        self._confirm = timing.cancel_confirm_ms / 1000.0
+        self._connect_timeout = routing.connect_timeout_ms / 1000.0
+        self._cancel_timeout = timing.cancel_confirm_ms / 1000.0
         self._limits = http1.Limits(body=limits.engine_body_bytes)
         self._engines: dict[str, Engine] = {}
-        self._listed: frozenset[str] = frozenset()  # of these, those that the list names
+        self._listed_names: frozenset[str] = frozenset()  # those of them that are in the current list
         self.pool = ConnectionPool(limits.pool_per_engine, timing.pool_idle_ms / 1000.0,
                          max_idle_timeout=timing.pool_longest_ms / 1000.0)  # fmt: skip
         self.background = BackgroundCalls(
-            self._engines_get,
+            self._engine_of,
             clock,
             instance=instance,
-            timeout=self._connect,
-            probed=probed,
+            timeout=self._connect_timeout,
+            on_probed=on_probed,
             release_within=routing.release_within_ms * 1_000_000,
-            listed=lambda server: server in self._listed,
+            is_listed=lambda server: server in self._listed_names,
             seed=zlib.crc32(instance.encode()),
         )
 
     def apply_settings(self, settings: Node) -> None:
-        """Go on under other settings; connections and what is under way stay."""
+        """Use other settings from now on; connections, attempts and calls under way are kept."""
         timing, limits, routing = settings.timing, settings.limits, settings.routing
-        self._connect = routing.connect_timeout_ms / 1000.0
-        self._confirm = timing.cancel_confirm_ms / 1000.0
+        self._connect_timeout = routing.connect_timeout_ms / 1000.0
+        self._cancel_timeout = timing.cancel_confirm_ms / 1000.0
         self._limits = http1.Limits(body=limits.engine_body_bytes)
         self.pool.set_limits(limits.pool_per_engine, timing.pool_idle_ms / 1000.0, timing.pool_longest_ms / 1000.0)
-        self.background.set_timeout(self._connect)
+        self.background.set_timeout(self._connect_timeout)
 
-    def _engines_get(self, server: str) -> Engine | None:
+    def _engine_of(self, server: str) -> Engine | None:
         return self._engines.get(server)
 
     def list_changed(self, engines: dict[str, Engine]) -> None:
-        """Take the addresses of a new list.  Engines that left are still known while something may be held there."""
-        gone = {name: engine for name, engine in self._engines.items() if name not in engines}
-        keep = dict(list(gone.items())[-1_000:])
-        self._engines, self._listed = keep | engines, frozenset(engines)
+        """Use the addresses of a new list.  Up to 1,000 delisted engines stay known for releases of held state."""
+        delisted = {name: engine for name, engine in self._engines.items() if name not in engines}
+        remembered = dict(list(delisted.items())[-1_000:])
+        self._engines, self._listed_names = remembered | engines, frozenset(engines)
         self.pool.retain({(e.host, e.port) for e in engines.values()})
 
     def start(
         self,
-        ask: InferenceRequest,
+        request: InferenceRequest,
         server: str,
-        number: int,
+        attempt_number: int,
         state: Any,
-        place: bool,
+        reserved: bool,
         may_send: Callable[[str], bool],
     ) -> Attempt | AttemptResult:
         """See ``ports.Engines.start``."""
@@ -87,61 +87,69 @@
         if state is not None and role is api.Role.PREFILL:
             state = None
         if role is not api.Role.PREFILL:
-            self.background.cancel_reservation(ask.request_id)
-        request = protocol.chat_request(
-            ask, role, f"{engine.host}:{engine.port}", number, self._instance, state, place, engine.kind.load_header,
-            self._acting_of(ask.request_id)
+            self.background.cancel_reservation(request.request_id)
+        message = protocol.chat_request(
+            request, role, f"{engine.host}:{engine.port}", attempt_number, self._instance, state, reserved,
+            engine.kind.load_header, self._acting_of(request.request_id)
         )  # fmt: skip
         try:
-            sock, _ = self.pool.acquire(engine.host, engine.port, self._connect)
+            sock, _ = self.pool.acquire(engine.host, engine.port, self._connect_timeout)
         except ResourceExhausted as error:
             return AttemptResult(api.Outcome.NOT_SENT, f"engine {server}: {error}")
         except OSError as error:
             return AttemptResult(api.Outcome.CONNECT_FAILED, f"engine {server}: {error}")
-        if not may_send(server):  # a list may have come while we connected
+        if not may_send(server):  # the server list may have changed while connecting
             reset(sock)
             return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is leaving")
         attempt = SocketAttempt(
             sock,
-            request,
+            message,
             protocol.Exchange(role, self._limits),
-            self._confirm,
-            lambda back: self.pool.put_back(engine.host, engine.port, back),
+            self._cancel_timeout,
+            lambda idle_sock: self.pool.put_back(engine.host, engine.port, idle_sock),
         )
         for event in attempt.push():
             if isinstance(event, AttemptResult):
                 return event
         return attempt
 
-    def reserve(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
+    def reserve(self, request_id: str, server: str, attempt_number: int, callback: Callable[[bool], None]) -> None:
         """See ``ports.Engines.reserve``."""
-        self.background.reserve(request, server, number, answer)
+        self.background.reserve(request_id, server, attempt_number, callback)
 
-    def release(self, request: str, reader: str, state: Any, place: str, number: int, rest: bool) -> None:
-        """See ``ports.Engines.release``; these engines let go of each thing by itself."""
-        engine = self._engines.get(reader)
+    def release(
+        self,
+        request_id: str,
+        prefill_server: str,
+        state: Any,
+        decode_server: str,
+        attempt_number: int,
+        state_remains: bool,
+    ) -> None:
+        """See ``ports.Engines.release``; these engines release a KV state and a reservation separately."""
+        engine = self._engines.get(prefill_server)
         if state is None and (engine is None or engine.kind.role is not api.Role.PREFILL):
-            reader = ""
-        if reader or place:
-            self.background.release(request, reader, state, place, number)
+            prefill_server = ""
+        if prefill_server or decode_server:
+            self.background.release(request_id, prefill_server, state, decode_server, attempt_number)
 
     def probe(self, server: str) -> None:
         """See ``ports.Engines.probe``."""
         self.background.probe(server)
 
     def preconnect(self, server: str) -> bool:
-        """Open a connection ahead and keep it for the first request; whether one came about."""
+        """Open a connection for the first request to an engine; return whether that succeeded."""
         engine = self._engines.get(server)
         if engine is None:
             return False
         try:
-            sock, _ = self.pool.acquire(engine.host, engine.port, self._connect)
+            sock, _ = self.pool.acquire(engine.host, engine.port, self._connect_timeout)
         except OSError:
             return False
         self.pool.put_back(engine.host, engine.port, sock)
         return True
 
     def close(self, wait: float = 1.0) -> None:
-        """Let releases end, close what is idle."""
+        """Wait up to ``wait`` seconds for open releases, then close idle connections."""
         self.background.stop(wait)
         self.pool.close()
--- a/stonetrack/engines/load.py
+++ b/stonetrack/engines/load.py
@@ -1,7 +1,7 @@
-"""Load reports as engines give them: the ORCA header in answers, and vLLM's metrics for probes.
+"""Load reports of engines: the ORCA header in answers, and vLLM's metrics page for probes.
 
-Sources: the ORCA header ``endpoint-load-metrics`` (``TEXT name=value, …`` or ``JSON {…}``) and the Prometheus text
-format with vLLM's names.  ``waiting_prompt_tokens`` is an extension: prompt tokens yet to be read.
+Formats: the ORCA header ``endpoint-load-metrics`` (``TEXT name=value, …`` or ``JSON {…}``) and the Prometheus text
+format with vLLM's metric names.  ``waiting_prompt_tokens`` is an extension: prompt tokens that wait for prefill.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 _MEMORY = ("kv_cache_usage_perc", "vllm:kv_cache_usage_perc", "gpu_cache_usage_perc", "vllm:gpu_cache_usage_perc")
 _TOKENS = ("waiting_prompt_tokens", "vllm:waiting_prompt_tokens")
 _LINE = re.compile(r"^([A-Za-z_:][\w:]*)(?:\{[^}]*\})?\s+(\S+)")
-_MOST = 65_536  # bytes looked at
+_MAX_LENGTH = 65_536  # characters of a header that are parsed; 16 times as many of a metrics page
 
 
 def _number(text: object) -> float | None:
@@ -42,9 +42,9 @@
 
 
 def from_header(value: str) -> LoadReport | None:
-    """The report of an answer's header; None where there is none that can be read."""
+    """Parse the header of an answer; None if it holds no valid report."""
     values: dict[str, float] = {}
-    form, _, rest = value[:_MOST].partition(" ")
+    form, _, rest = value[:_MAX_LENGTH].partition(" ")
     if form == "JSON":
         try:
             raw = msgspec.json.decode(rest)
@@ -64,9 +64,9 @@
 
 
 def from_metrics(text: str) -> LoadReport | None:
-    """The report of a metrics page; series of one name are summed (one for each model), shares averaged."""
+    """Parse a metrics page; series with the same name (one for each model) are summed, shares are averaged."""
     sums: dict[str, list[float]] = {}
-    for line in text[: _MOST * 16].splitlines():
+    for line in text[: _MAX_LENGTH * 16].splitlines():
         found = _LINE.match(line)
         if found and (number := _number(found.group(2))) is not None:
             sums.setdefault(found.group(1), []).append(number)
@@ -74,7 +74,7 @@
 
 
 def to_header(report: LoadReport) -> str:
-    """The header that a stand-in sends: running and waiting apart, as vLLM gives them."""
+    """Format a report as an emulator sends it: running and waiting requests as separate values, as in vLLM."""
     waiting = report.queued or 0.0
     parts = [
         ("num_requests_running", (report.in_flight or 0.0) - waiting),
--- a/stonetrack/engines/release_workers.py
+++ b/stonetrack/engines/release_workers.py
@@ -1,4 +1,4 @@
-"""The threads that carry out a book of releases (:mod:`.release_queue` says when), apart from what a release is."""
+"""Threads that process a release queue (:mod:`.release_queue` decides when); the caller supplies the release call."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class ReleaseWorkers:
-    """Calls ``release`` for what is due, again where it was not done; one thread stays free of engines that are away.
+    """Calls ``release`` for due releases and retries failed ones; one thread is reserved for reachable engines.
 
-    ``over`` is told of what will not be tried again: under the lock, and so it must not wait.
+    ``on_ended`` is called for each release that will not be tried again.  It runs under the lock and must not block.
     """
 
     def __init__(
@@ -24,13 +24,13 @@
         within: int,
         threads: int,
         release: Callable[[PendingRelease], ReleaseResult],
-        over: Callable[[int, PendingRelease], None] = lambda number, item: None,
+        on_ended: Callable[[int, PendingRelease], None] = lambda release_id, item: None,
         seed: int = 0,
         log: Callable[[str], None] = lambda text: None,
     ) -> None:
-        self._clock, self._release, self._over, self._log = clock, release, over, log
+        self._clock, self._release, self._on_ended, self._log = clock, release, on_ended, log
         self.queue = ReleaseQueue(within, max_unreachable_tries=max(1, threads - 1), seed=seed)
-        self.changed = threading.Condition(threading.Lock())  # guards the book; told of every change
+        self.changed = threading.Condition(threading.Lock())  # guards the queue; notified of every change
         self._stopping = False
         self._threads = [restarting_thread(f"releases-{n}", self._run, log) for n in range(threads)]
 
@@ -43,21 +43,21 @@
         return len(self.queue)
 
     def add(self, items: list[PendingRelease]) -> None:
-        """Note releases; they are due at once."""
+        """Add releases; they are due at once."""
         with self.changed:
             for item in items:
                 self.queue.add(item)
             self.changed.notify_all()
 
-    def wait_until(self, done: Callable[[], bool], seconds: float) -> bool:
-        """Wait under the lock, which the caller holds, until ``done`` or for so many seconds; whether it is done."""
+    def wait_until(self, condition: Callable[[], bool], seconds: float) -> bool:
+        """Wait until ``condition`` is true, up to ``seconds``; return its last value.  The caller holds the lock."""
         end = time.monotonic() + seconds
-        while not (so := done()) and (left := end - time.monotonic()) > 0:
+        while not (met := condition()) and (left := end - time.monotonic()) > 0:
             self.changed.wait(left)
-        return so
+        return met
 
     def stop(self, wait: float) -> None:
-        """Let open releases end for so many seconds, then stop."""
+        """Wait up to ``wait`` seconds for open releases, then stop."""
         with self.changed:
             self.wait_until(lambda: not self.queue, wait)
             self._stopping = True
@@ -66,18 +66,18 @@
     def _run(self) -> None:
         while True:
             with self.changed:
-                while (found := self.queue.take_due(self._clock())) is None:
+                while (due := self.queue.take_due(self._clock())) is None:
                     if self._stopping:
                         return
                     at = self.queue.next_due()
                     self.changed.wait(None if at is None else max(0.001, (at - self._clock()) / SECOND))
-            number, item = found
+            release_id, item = due
             try:
-                heard = self._release(item)
-            except Exception as error:  # the release is owed all the same
+                result = self._release(item)
+            except Exception as error:  # the release still has to be done
                 self._log(f"release of {item.request}: {type(error).__name__}: {error}")
-                heard = ReleaseResult.RETRY
+                result = ReleaseResult.RETRY
             with self.changed:
-                if not self.queue.record_result(number, heard, self._clock()):
-                    self._over(number, item)
+                if not self.queue.record_result(release_id, result, self._clock()):
+                    self._on_ended(release_id, item)
                 self.changed.notify_all()
--- a/stonetrack/engines/reuse_delay.py
+++ b/stonetrack/engines/reuse_delay.py
@@ -1,39 +1,39 @@
-"""How long a kept connection must have rested before a request is put on it.  No I/O.
+"""How long a connection has to be idle before it is reused.  No I/O.
 
-An engine that closes a connection right after its answer does so a moment later than the answer: a request written in
-between crosses the close and is reset, and nobody can tell whether it ran.  Once the close has arrived the connection
-shows its end and is thrown away unused.  So a connection that has rested for longer than such closes take to arrive is
-safe, a fresh one is as well, and only those in between are not.
+If an engine closes connections right after its answers, the close arrives a moment later than the answer.  A request
+that is written in between is reset, and whether it ran is unknown.  Once the close has arrived, the connection is
+readable and is discarded without being reused.  So a connection that has been idle for longer than such a close takes
+to arrive is safe, and so is a new connection; only those in between are not.
 
-Nothing is paid until it happens: while no request on a kept connection went unanswered, none needs rest.  After
-``LEAST`` of them within ``SPAN``, connections rest a quarter longer than the longest of those had, ``MOST`` at most;
-what has rested less stays kept, and a new connection is opened meanwhile.
+There is no delay as long as no request on a reused connection was reset.  After ``MIN_FAILURES`` of them within
+``WINDOW_S``, connections have to be idle a quarter longer than the longest idle time among these failures, up to
+``MAX_DELAY_S``.  Younger ones stay in the pool, and new connections are opened in the meantime.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-SPAN = 20.0  # seconds for which an unanswered request is remembered
-LEAST = 2
-MOST = 1.0  # seconds
-_KEPT = 16
+WINDOW_S = 20.0  # for which a failure is remembered
+MIN_FAILURES = 2
+MAX_DELAY_S = 1.0
+_MAX_REMEMBERED = 16
 
 
 class ReuseDelay:
-    """What requests on kept connections came to."""
+    """Failures of requests on reused connections, and the delay that follows from them."""
 
     def __init__(self) -> None:
-        self._failed: deque[tuple[float, float]] = deque(maxlen=_KEPT)  # when, after how long a rest
+        self._failed: deque[tuple[float, float]] = deque(maxlen=_MAX_REMEMBERED)  # when, after which idle time
 
-    def record_unanswered(self, now: float, age: float) -> None:
-        """A request on a connection that had rested for ``age`` seconds was reset before a byte of an answer."""
-        if age <= MOST:
-            self._failed.append((now, age))
+    def record_unanswered(self, now: float, idle: float) -> None:
+        """A request on a connection that was idle for ``idle`` seconds was reset before any byte of its answer."""
+        if idle <= MAX_DELAY_S:
+            self._failed.append((now, idle))
 
     def required(self, now: float) -> float:
-        """Seconds that a connection must have rested; 0 while there is no cause."""
+        """Seconds for which a connection has to be idle before it is reused; 0 without recent failures."""
         if not self._failed:
             return 0.0
-        ages = [age for at, age in self._failed if now - at < SPAN]
-        return min(max(ages) * 1.25 + 0.02, MOST) if len(ages) >= LEAST else 0.0
+        idle_times = [idle for at, idle in self._failed if now - at < WINDOW_S]
+        return min(max(idle_times) * 1.25 + 0.02, MAX_DELAY_S) if len(idle_times) >= MIN_FAILURES else 0.0
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change under a running router: what stays, what is dropped by name, and where names stand."""
+"""Changes of settings while a router runs: which state is kept, which names are dropped, and the indexes of names."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 CLASS = SETTINGS.classes[0]
 
 
-def test_a_router_goes_on_under_other_settings_with_all_it_knows() -> None:
+def test_router_keeps_its_state_when_settings_change() -> None:
     fixture = RouterFixture()
     fixture.run_request("q0")
-    out = single(fixture.arrive("q1", session="s-q0", prompt=3_200), api.Send)
-    known = {name: dict(s.prefix_table.entries) for name, s in fixture.router.servers.items()}
-    quick = replace(CLASS, first_token_aim=100 * MS, deadline=SECOND)
-    fixture.router.adopt(replace(SETTINGS, classes=(quick, replace(CLASS, name="second")), max_attempts=2))
-    assert {name: dict(s.prefix_table.entries) for name, s in fixture.router.servers.items()} == known
+    attempt = single(fixture.arrive("q1", session="s-q0", prompt=3_200), api.Send)
+    tables = {name: dict(s.prefix_table.entries) for name, s in fixture.router.servers.items()}
+    fast_class = replace(CLASS, first_token_aim=100 * MS, deadline=SECOND)
+    fixture.router.adopt(replace(SETTINGS, classes=(fast_class, replace(CLASS, name="second")), max_attempts=2))
+    assert {name: dict(s.prefix_table.entries) for name, s in fixture.router.servers.items()} == tables
     assert fixture.router.latency[Role.PREFILL].count == 1 and fixture.router.requests["q1"].class_settings is CLASS
-    fixture.finish_prefill(out)  # what was under way goes on, by the class it came with
+    fixture.finish_prefill(attempt)  # a running request continues with the class that it arrived with
     assert fixture.router.requests["q1"].capped_target() > SECOND
     fixture.arrive("q2", class_index=1, prompt=160)
     assert fixture.router.requests["q2"].class_settings.name == "second"
     fixture.arrive("q3")
-    assert fixture.router.requests["q3"].class_settings is quick
+    assert fixture.router.requests["q3"].class_settings is fast_class
 
 
 @pytest.mark.parametrize(
@@ -50,7 +50,7 @@
         replace(SETTINGS, classes=(replace(CLASS, name="before"), CLASS)),
     ],
 )
-def test_a_router_refuses_settings_in_which_places_mean_others(changed: api.Settings) -> None:
+def test_router_rejects_settings_that_change_the_meaning_of_indexes(changed: api.Settings) -> None:
     fixture = RouterFixture()
     with pytest.raises(ValueError, match="settings: "):
         fixture.router.adopt(changed)
@@ -58,7 +58,7 @@
 
 
 @given(st.lists(st.lists(st.sampled_from("abcdef"), unique=True, min_size=1), min_size=1, max_size=8))
-def test_a_name_keeps_its_place_through_any_changes(versions: list[list[str]]) -> None:
+def test_names_keep_their_indexes_through_any_changes(versions: list[list[str]]) -> None:
     def settings(names: list[str], worth: float) -> api.Settings:
         tenants = tuple(api.Tenant(name, worth) for name in names)
         return replace(SETTINGS, classes=tuple(replace(CLASS, name=n, worth=worth) for n in names), tenants=tenants)
@@ -78,7 +78,7 @@
         places.class_at("never")
 
 
-def test_a_request_under_way_ends_right_though_its_class_has_gone() -> None:
+def test_running_request_completes_after_its_class_was_removed() -> None:
     with harness(1, 1, answer_least=40, answer_most=40, token_ms=15.0) as made:
         base = raw_settings(made.engines.list_url)
         two = [base["classes"][0], {**base["classes"][0], "name": "second"}]
@@ -96,8 +96,8 @@
         client.close()
 
 
-def test_a_capture_goes_on_over_a_change_of_settings_and_replays(tmp_path: Path) -> None:
-    """Beside a stream that is under way; what follows is decided by other settings, and replayed so."""
+def test_capture_continues_over_a_change_of_settings_and_replays(tmp_path: Path) -> None:
+    """A stream is running; later requests are decided with the changed settings, also in the replay."""
     with harness(2, 2, settings={"capture": {"dir": str(tmp_path), "flush_ms": 20}}, token_ms=10.0) as made:
         client, stream = Client(made.port), Client(made.port)
         stream.send_request(chat(max_tokens=12))
@@ -114,14 +114,14 @@
         assert dropped == [[], []]
         router = made.node.core.router
         assert isinstance(router, Router) and router.settings.max_attempts == 7
-    reading = Reading(sorted(tmp_path.glob("*.cap")))
-    result = run(reading.records(0))
+    history = Reading(sorted(tmp_path.glob("*.cap")))
+    result = run(history.records(0))
     assert result.same and result.states == 2 and result.routers == 1 and not result.missing and not result.skipped
-    assert result.calls > 50 and result.router.settings.max_attempts == 7 and not reading.damage
+    assert result.calls > 50 and result.router.settings.max_attempts == 7 and not history.damage
 
 
-def test_a_client_that_has_just_come_is_answered_though_the_node_ends() -> None:
-    """Seen in a drawn history: a node that was asked to start anew cut a client whose request it had not read yet."""
+def test_client_that_has_just_connected_is_answered_while_the_node_drains() -> None:
+    """A node that was restarted closed the connection of a client whose request it had not read yet."""
     with harness(1, 1) as made:
         client = Client(made.port)
         assert wait_for(lambda: made.node.host.connections == 1)
@@ -133,7 +133,7 @@
 
         drain = threading.Thread(target=end)
         drain.start()
-        time.sleep(0.5)  # the accepting thread has ended by then
+        time.sleep(0.5)  # the acceptor thread has ended by then
         head, _ = client.call(chat(max_tokens=2))
         assert head.status == 200 and head.headers.get("connection") == "close"
         drain.join(5.0)
@@ -142,7 +142,7 @@
 
 
 def prefix_hits(change: str) -> int:
-    """Of the second turns of 12 sessions: those whose reader had read the first."""
+    """Number of second turns, of 12 sessions, that go to the prefill engine of the first turn."""
     with harness(4, 2) as made:
         client = Client(made.port)
         firsts = [f"session {n} " + "words " * 300 for n in range(12)]
@@ -172,7 +172,7 @@
         return same
 
 
-def test_a_change_of_settings_keeps_what_the_router_knows_of_prompts() -> None:
-    """Also where classes come in another order; a change that must make a fresh router says so."""
+def test_change_of_settings_keeps_the_prefix_tables() -> None:
+    """Also if the order of classes changes; a change that requires a new router is logged."""
     assert [prefix_hits(change) for change in ("", "values", "order")] == [12, 12, 12]
     prefix_hits("fresh")
