--- a/benchmarks/handle.py
+++ b/benchmarks/handle.py
@@ -1,4 +1,4 @@
-"""What one request costs in ``Router.handle`` alone, by the size of the fleet: arrival, read, first token, end.
+"""Cost of one request in ``Router.handle`` alone, by fleet size: arrival, prefill, first token, end.
 
 .venv/bin/python -m benchmarks.handle
 """
@@ -13,7 +13,7 @@
 
 
 def measure(servers: int, requests: int) -> float:
-    """CPU milliseconds a request, with every answer bringing a load report, sessions and shared beginnings."""
+    """CPU milliseconds per request, with sessions, shared prefixes and a load report in every answer."""
     settings = api.Settings(
         classes=(api.RequestClass("c", 2_000 * MS, 40 * MS, 80 * MS, 10_000 * MS),),
         kinds=(api.Kind(api.Role.PREFILL, 200_000), api.Kind(api.Role.DECODE, 150_000)),
@@ -43,7 +43,7 @@
 
 
 def main() -> None:
-    """Print a line a size."""
+    """Print one line for each fleet size."""
     for servers, requests in ((12, 3_000), (60, 1_500), (400, 300)):
         best = min(measure(servers, requests) for _ in range(3))
         print(f"{servers} servers: {best:.2f} ms a request", flush=True)
--- a/tests/test_replaying.py
+++ b/tests/test_replaying.py
@@ -1,4 +1,4 @@
-"""Why and what if: explanations, other revisions, and finding the middle of a capture."""
+"""Replays: explanations, comparison with other revisions, and seeking within a capture."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     return list(enumerate([HEADER, *made]))
 
 
-def test_watching_a_router_changes_no_decision_and_no_state() -> None:
+def test_tracing_a_router_changes_no_decision_and_no_state() -> None:
     made = calls(1_200)
     cls, reasons = explain.traced(Router)
-    watched, plain = cls(HEADER.settings, 1), Router(HEADER.settings, 1)
+    traced, plain = cls(HEADER.settings, 1), Router(HEADER.settings, 1)
     for call in made:
-        assert tuple(watched.handle(call.at, call.event)) == call.actions
+        assert tuple(traced.handle(call.at, call.event)) == call.actions
         plain.handle(call.at, call.event)
-    assert snapshot.take(watched) == snapshot.take(plain)
+    assert snapshot.take(traced) == snapshot.take(plain)
     assert {r.what for r in reasons} >= {"reader", "writer", "ejection", "ejected"}
     assert not any(r.what == "not explained" for r in reasons)
 
@@ -54,13 +54,13 @@
         sends = [a for a in router.handle(call.at, call.event) if isinstance(a, api.Send)]
         choices = [r for r in reasons if isinstance(r, explain.Choice)]
         for choice in choices:
-            stood = [c for c in choice.candidates if not c.out]
+            eligible = [c for c in choice.candidates if not c.out]
             assert [c.name for c in choice.candidates if c.chosen] == [choice.chosen] * bool(choice.chosen)
-            assert len(choice.candidates) == 4 and (stood or not choice.chosen)
+            assert len(choice.candidates) == 4 and (eligible or not choice.chosen)
             assert all(c.out or c.score is not None for c in choice.candidates if choice.what == "reader")
             if choice.what == "reader" and choice.chosen and not choice.exceptions:
-                assert max(c.score or 0.0 for c in stood) == pytest.approx(
-                    next(c.score for c in stood if c.chosen), abs=1e-9
+                assert max(c.score or 0.0 for c in eligible) == pytest.approx(
+                    next(c.score for c in eligible if c.chosen), abs=1e-9
                 )
         if isinstance(call.event, api.RequestArrived) and sends:
             assert choices[0].what == "reader" and choices[0].chosen == sends[0].server
@@ -68,7 +68,7 @@
             assert f"> {choices[0].chosen}" in "\n".join(explain.table(choices[0])) or not choices[0].chosen
 
 
-def test_a_module_compared_with_itself_has_no_row_and_a_changed_one_shows_by_cause() -> None:
+def test_logic_compared_with_itself_has_no_row_and_each_change_shows_by_its_cause() -> None:
     made = calls(1_000)
     same = revision.from_texts("same", LOGIC, API)
     assert same.native and same.logic is not logic
@@ -107,7 +107,7 @@
     late: list[str] = []
     probed: list[str] = []
 
-    def tell(event: api.Event) -> None:
+    def handle(event: api.Event) -> None:
         actions = tuple(router.handle(now, event))
         made.append(Call(now, event, actions))
         for action in actions:
@@ -123,21 +123,21 @@
         send, attempt = out.pop(request), attempts.get(request, 0)
         attempts[request] = attempt + 1
         report = api.LoadReport(draw.random() * 9, 1.0, draw.random(), draw.random() * 20_000)
-        tell(api.AttemptEnded(request, attempt, send.server, outcome, 80 * MS, report=report, **more))
+        handle(api.AttemptEnded(request, attempt, send.server, outcome, 80 * MS, report=report, **more))
 
     fleet = (*(entry(f"r{n}", PREFILL, cell=n % 2) for n in range(14)), *FLEET[4:], entry("m0", MIXED))
-    tell(api.ServerList(api.ListKind.SAVED, 1, fleet))
+    handle(api.ServerList(api.ListKind.SAVED, 1, fleet))
     while len(made) < count:
         now += 20 * MS
         number = len(made)
         if draw.random() < 0.5:
             shared = f"b{number % 3}" if draw.random() < 0.7 else None
-            tell(api.RequestArrived(f"q{number}", 0, f"s{number % 9}", 6 * SECOND, 2_000, shared, 900, tenant=0))
+            handle(api.RequestArrived(f"q{number}", 0, f"s{number % 9}", 6 * SECOND, 2_000, shared, 900, tenant=0))
         if draw.random() < 0.4:
-            tell(api.TimerFired(0))
+            handle(api.TimerFired(0))
         while probed:
             report = api.LoadReport(2.0, 0.0, draw.random(), draw.choice([0.0, 3_000.0, 60_000.0]))
-            tell(api.ProbeEnded(probed.pop(), api.Outcome.SERVED, 2 * MS, report))
+            handle(api.ProbeEnded(probed.pop(), api.Outcome.SERVED, 2 * MS, report))
         while late:
             if (request := late.pop()) in out:
                 end(request, api.Outcome.CANCELLED)
@@ -149,7 +149,7 @@
             elif outcome is not api.Outcome.READ or out[request].server[0] == "r":
                 end(request, outcome, kept_tokens=draw.choice([0, 900]) if outcome is api.Outcome.READ else 0)
             else:
-                tell(api.FirstToken(request, attempts.get(request, 0), out[request].server, 60 * MS))
+                handle(api.FirstToken(request, attempts.get(request, 0), out[request].server, 60 * MS))
                 streaming.add(request)
     return made[:count]
 
@@ -181,7 +181,7 @@
     return [revision.from_texts(f"names{n}", text.replace(*changes, 1), API) for n, text in enumerate(texts)]
 
 
-def test_a_state_goes_over_to_a_revision_of_older_names_and_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_state_is_carried_over_to_a_revision_of_older_names_and_back(monkeypatch: pytest.MonkeyPatch) -> None:
     made = overlapping(900)
     older = revisions()[1]
     assert older.native
@@ -222,7 +222,7 @@
     for call in made[:300]:
         router.handle(call.at, call.event)
     for beginning in (PROBING, State(made[300].at, "v", snapshot.take(router))):
-        told: list[list[str]] = []
+        explanations: list[list[str]] = []
         for module in revisions():
             cls, reasons = explain.traced(module.logic.Router)
             records: list[Record] = [beginning, *made[300 if isinstance(beginning, State) else 0 :]]
@@ -236,8 +236,8 @@
                 "cancelled",
             }
             assert not any(r.what == "not explained" for r in reasons)
-            told.append(list(explain.lines(reasons)))
-        assert told[0] == told[1]
+            explanations.append(list(explain.lines(reasons)))
+        assert explanations[0] == explanations[1]
 
 
 def test_a_snapshot_of_revision_020f764_is_read_back() -> None:
@@ -255,7 +255,7 @@
     assert any(s.prefix_table.entries and s.unit_latency and s.ejections for s in router.servers.values())
 
 
-def test_revision_020f764_decides_and_is_explained_as_ever() -> None:
+def test_revision_020f764_decides_the_same_and_is_explained_in_the_same_words() -> None:
     try:
         module = revision.load("020f764", ROOT)
     except CaptureError:
@@ -264,17 +264,17 @@
     assert module.native
     found = compare.compare(enumerate(records), module)
     assert found.stepwise and not found.changes
-    told: list[list[str]] = []
+    explanations: list[list[str]] = []
     for each in (revision.current(), module):
         cls, reasons = explain.traced(each.logic.Router)
         assert run(enumerate(records), partial(each.make, cls=cls), restore_class=cls).same
         assert not any(r.what == "not explained" for r in reasons)
-        told.append(list(explain.lines(reasons)))
-    assert told[0] == told[1]
+        explanations.append(list(explain.lines(reasons)))
+    assert explanations[0] == explanations[1]
 
 
-def test_each_row_is_judged_on_equal_knowledge() -> None:
-    """A change that acts on one request alone must give rows of that request alone, however much follows from it."""
+def test_each_row_is_decided_on_equal_state() -> None:
+    """A change that affects one request alone gives rows of that request alone, whatever follows from it."""
     made = calls(800)
     victim = next(c.event.request for c in made[300:] if isinstance(c.event, api.RequestArrived))
     arrived = "if isinstance(event, api.RequestArrived):"
@@ -295,7 +295,7 @@
     assert "goes on by itself" in "\n".join(compare.table(found, ("now", "more")))
 
 
-def test_a_revision_of_another_interface_is_spoken_to_by_the_names_of_fields() -> None:
+def test_events_for_a_revision_of_another_interface_are_translated_by_field_names() -> None:
     made = calls(400)
     resumed, kept = "    resumed: bool = False\n", "    kept_tokens: int = 0\n"
     assert resumed in API and kept in API
@@ -309,18 +309,18 @@
         revision.from_texts("broken", "def", API)
 
 
-def test_a_revision_that_is_none_is_refused_plainly() -> None:
+def test_an_unknown_revision_is_refused_by_name() -> None:
     for name in ("no-such-revision", "--help"):
         with pytest.raises(CaptureError, match="no-such-revision|is no revision"):
             revision.load(name, ROOT)
     assert revision.load("now").logic is logic
 
 
-# Finding the middle.
+# Seeking within a capture.
 
 
 def stored(folder: Path, every: int = 400) -> Store:
-    """A folder's index and states, as the tender makes them."""
+    """The index and the states of a folder, as capture maintenance makes them."""
     store = Store(folder)
     for name, paths in history.routers(folder).items():
         for path in paths:
@@ -363,7 +363,7 @@
     assert list(seek.about(tmp_path, Reading(paths), "nobody")) == []
 
 
-def test_an_index_of_another_file_is_not_believed(tmp_path: Path) -> None:
+def test_an_index_of_another_file_is_not_used(tmp_path: Path) -> None:
     write(tmp_path, calls(200), block=50)
     with stored(tmp_path) as store:
         (path,) = files(tmp_path)
@@ -374,7 +374,7 @@
         index.from_bytes(b"\x91\x01")
 
 
-def test_what_the_store_was_told_is_there_again(tmp_path: Path) -> None:
+def test_the_store_keeps_what_was_put_into_it(tmp_path: Path) -> None:
     with Store(tmp_path) as store:
         store.keep("a.cap", "the long weekend")
         store.note(7, "chatcmpl-1", "went to r1, why?")
@@ -397,7 +397,7 @@
         Store(tmp_path / "file")
 
 
-def test_a_missing_segment_is_named_and_what_follows_is_not_replayed_over_it(tmp_path: Path) -> None:
+def test_a_missing_segment_is_named_and_no_replay_continues_across_it(tmp_path: Path) -> None:
     made = calls(2_000)
     write(tmp_path, made, segment_bytes=4_000, block=200)
     paths = files(tmp_path)
@@ -411,14 +411,14 @@
     assert result.same and result.skipped and result.calls + result.skipped == len(records) - 2
 
 
-def test_the_commands_speak_plainly(tmp_path: Path) -> None:
+def test_the_commands_report_results_and_errors_without_tracebacks(tmp_path: Path) -> None:
     made = calls(600)
     write(tmp_path, made, block=100)
     stored(tmp_path, 200).close()
     request = next(c.event.request for c in made[400:] if isinstance(c.event, api.RequestArrived))
-    told = command("capture", "explain", str(tmp_path), request)
-    assert told.returncode == 0 and "RequestArrived" in told.stdout and "-> Send(" in told.stdout, told.stderr
-    assert "score" in told.stdout and "expected" in told.stdout
+    shown = command("capture", "explain", str(tmp_path), request)
+    assert shown.returncode == 0 and "RequestArrived" in shown.stdout and "-> Send(" in shown.stdout, shown.stderr
+    assert "score" in shown.stdout and "expected" in shown.stdout
     nobody = command("capture", "explain", str(tmp_path), "nobody")
     assert nobody.returncode == 2 and "nobody" in nobody.stderr and "Traceback" not in nobody.stderr
     (tmp_path / "module").mkdir()
@@ -445,36 +445,36 @@
     send = next(a for a in made[n].actions if isinstance(a, api.Send))
     wrong = tuple(api.Send(a.request, "r9") if a is send else a for a in made[n].actions)
     write(tmp_path, [*made[:n], Call(made[n].at, made[n].event, wrong), *made[n + 1 :]])
-    told = command("replay", str(tmp_path))
-    assert told.returncode == 1 and f"call {n + 1} at" in told.stdout and "r9" in told.stdout
-    assert f"> {send.server}" in told.stdout
+    replayed = command("replay", str(tmp_path))
+    assert replayed.returncode == 1 and f"call {n + 1} at" in replayed.stdout and "r9" in replayed.stdout
+    assert f"> {send.server}" in replayed.stdout
 
 
-def test_odd_clocks_and_late_news_replay_the_same(tmp_path: Path) -> None:
-    """A clock that stands, steps back, jumps; timers at one nanosecond; late reports; lists amid."""
+def test_irregular_clocks_and_late_reports_replay_the_same(tmp_path: Path) -> None:
+    """The clock stops, steps back and jumps; timers share a nanosecond; reports are late; server lists come between."""
     draw = random.Random(3)
     plain = calls(900)
     router = Router(HEADER.settings, 1)
     made: list[Call] = []
     shift = 0
 
-    def tell(at: int, event: api.Event) -> None:
+    def handle(at: int, event: api.Event) -> None:
         made.append(Call(at, event, tuple(router.handle(at, event))))
 
     full = next(call.event for call in plain if isinstance(call.event, api.ServerList))
     for call in plain:
         shift += draw.choice([0, 0, 0, -300_000_000, 5_000_000_000, -5_000_000_000])
         at = max(1, call.at + shift)
-        tell(at, call.event)
+        handle(at, call.event)
         if draw.random() < 0.2:
-            tell(at, api.TimerFired(0))
-            tell(at, api.TimerFired(0))
+            handle(at, api.TimerFired(0))
+            handle(at, api.TimerFired(0))
         if isinstance(call.event, api.AttemptEnded) and draw.random() < 0.4:
             gone = draw.randrange(len(full.entries))
             entries = (replace(full.entries[gone], state=draw.choice(list(api.ServerState))),)
-            tell(at, api.ServerList(api.ListKind.CHANGES, 2, entries))
-            tell(at - 1, replace(call.event, report=api.LoadReport(draw.random() * 9, 1.0, draw.random(), 50.0)))
-            tell(at, replace(full, kind=api.ListKind.FULL))
+            handle(at, api.ServerList(api.ListKind.CHANGES, 2, entries))
+            handle(at - 1, replace(call.event, report=api.LoadReport(draw.random() * 9, 1.0, draw.random(), 50.0)))
+            handle(at, replace(full, kind=api.ListKind.FULL))
     write(tmp_path, made, block=40, segment_bytes=6_000)
     reading = Reading(files(tmp_path))
     records = list(reading)
@@ -487,12 +487,12 @@
     assert again.same and again.calls == len(made) - 500
 
 
-def test_no_file_however_mangled_stops_the_reader(tmp_path: Path) -> None:
+def test_no_corrupt_file_stops_the_reader(tmp_path: Path) -> None:
     write(tmp_path, calls(120), block=15)
     (path,) = files(tmp_path)
     corpus = [path.read_bytes()]
     draw = random.Random(11)
-    told = 0
+    damaged = 0
     for _ in range(400):
         data = bytearray(draw.choice(corpus))
         for _ in range(draw.randrange(1, 5)):
@@ -511,14 +511,14 @@
         path.write_bytes(data)
         reading = Reading([path])
         records = list(reading)
-        told += bool(reading.damage)
+        damaged += bool(reading.damage)
         result = run(records)
         assert result.same or reading.damage
         assert all(text.startswith(f"{path.name}: ") for text in reading.damage)
-    assert told > 300
+    assert damaged > 300
 
 
-def test_a_capture_by_another_version_is_refused_by_name_and_the_rest_is_read(tmp_path: Path) -> None:
+def test_a_segment_of_another_version_is_refused_by_name_and_the_rest_is_read(tmp_path: Path) -> None:
     made = calls(400)
     write(tmp_path, made, block=20, segment_bytes=2_500)
     paths = files(tmp_path)
@@ -529,8 +529,8 @@
     assert f"{paths[1].name}: offset 0: not a capture of this version" in reading.damage[0]
     assert f"{paths[2].name}: offset" in reading.damage[1] and "records are missing" in reading.damage[1]
     assert run(records).same and records[-1][1] == made[-1]
-    told = command("capture", "verify", str(tmp_path))
-    assert told.returncode == 1 and "not a capture of this version" in told.stdout
+    verified = command("capture", "verify", str(tmp_path))
+    assert verified.returncode == 1 and "not a capture of this version" in verified.stdout
 
 
 def test_two_routers_in_one_folder_never_mix(tmp_path: Path) -> None:
@@ -543,8 +543,8 @@
     for call in two:
         other.note(call.at, call.event, call.actions)
     other.stop()
-    rooms = history.routers(tmp_path)
-    assert set(rooms) == {"i0.1", "i1.1"}
+    routers = history.routers(tmp_path)
+    assert set(routers) == {"i0.1", "i1.1"}
     for name, made in (("i0.1", one), ("i1.1", two)):
-        assert [r for _, r in Reading(rooms[name])][1:] == made
-        assert run(Reading(rooms[name])).same
+        assert [r for _, r in Reading(routers[name])][1:] == made
+        assert run(Reading(routers[name])).same
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,22 +7,22 @@
 
 import pytest
 
-from benchmarks.ramps import NODES, bound, drawn, play
+from benchmarks.ramps import NODES, bound, most_calls, random_slow_start
 from stonetrack import api, logic
 from stonetrack.logic import MS, SECOND, hash_fraction
 from tests.router_fixture import DECODE, PREFILL, SETTINGS, RouterFixture, entry, of_type, single
 
-RAMPS = 50  # of each number of nodes; benchmarks/ramps.py plays a thousand
+SLOW_STARTS = 50  # for each number of nodes; benchmarks/ramps.py runs a thousand
 ANSWERS = replace(SETTINGS, report_source=api.ReportSource.ANSWERS, may_probe=True, may_hold_place=True)
 
 
 @pytest.mark.parametrize("nodes", NODES)
 def test_no_drawn_slow_start_exceeds_its_budget_up_to_three_times_capacity(nodes: int) -> None:
     draw = random.Random(f"ramps {nodes}")
-    for _ in range(RAMPS):
-        ramp = drawn(draw, nodes)
-        most = play(ramp, draw)
-        assert most <= bound(ramp.budget), ramp
+    for _ in range(SLOW_STARTS):
+        slow_start = random_slow_start(draw, nodes)
+        most = most_calls(slow_start, draw)
+        assert most <= bound(slow_start.budget), slow_start
 
 
 def test_slow_starts_exceed_their_budget_where_every_arrival_counts_as_carried(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -31,8 +31,8 @@
     monkeypatch.setattr(logic, "PRIOR_CARRIED_SHARE", 1.0)
     monkeypatch.setattr(logic.Router, "_recent_flow", lambda self, what: 0.0)
     draw = random.Random("control")
-    ramps = [replace(drawn(draw, 10), load_before=3.0, load=3.0) for _ in range(RAMPS)]
-    assert any(play(ramp, draw) > bound(ramp.budget) for ramp in ramps)
+    slow_starts = [replace(random_slow_start(draw, 10), load_before=3.0, load=3.0) for _ in range(SLOW_STARTS)]
+    assert any(most_calls(slow_start, draw) > bound(slow_start.budget) for slow_start in slow_starts)
 
 
 def test_the_share_is_of_the_servers_role_however_few_are_candidates() -> None:
