--- a/stonetrack/logic.py
+++ b/stonetrack/logic.py
@@ -36,11 +36,11 @@
 ANSWER_MARGIN_NS = 60 * MS  # before its client leaves, a waiting request gets its final answer
 RELEASE_TIME_SHARE = 0.7  # of the time for which a state may be held with no attempt out
 TIMEOUT_SHARE = 0.5  # of the time left to the latency target, then to the deadline: no attempt is late before that
-TIMELY_SHARE = 0.15  # of the latency target: an outcome within it shows that requests get through, and
-CANCEL_BUDGET_STEP, MAX_CANCEL_BUDGET = 0.3, 3.0  # adds this to the late attempts that may be cancelled, up to a most
+TIMELY_SHARE = 0.15  # of the latency target: an outcome within it is timely and shows that requests get through
+CANCEL_BUDGET_STEP, MAX_CANCEL_BUDGET = 0.3, 3.0  # cancellations that a timely outcome adds, and most that are saved up
 
 CROWDED_SHARE = 0.4  # of the latency target: a prefill engine above it yields to one below it
-MAX_ADMIT_SHARE, MIN_ADMIT_SHARE = 0.9, 0.5  # of the latency target for the expected wait: at full utility, none
+MAX_ADMIT_SHARE, MIN_ADMIT_SHARE = 0.9, 0.5  # of the latency target, for the expected wait: at top utility, at none
 
 MIN_EJECTION_NS, MAX_EJECTION_NS = 300 * MS, 16 * SECOND  # for which a server that failed is ejected
 CLASS_REJECTION_SHARE = 0.05  # of the latency target: a rejection that took longer is meant for the class alone
@@ -55,7 +55,7 @@
 SLOW_START_TARGET_SHARE = 0.42
 FLOW_DECAY_SHARE = 0.25  # of the slow-start window: mean time for which an arrival or a success counts
 MIN_FLOW_DECAY_NS = SECOND // 4
-PRIOR_CARRIED_SHARE = 1 / 3  # of the arrivals, carried where nothing is known: three times capacity may arrive
+PRIOR_CARRIED_SHARE = 1 / 3  # of the arrivals, assumed carried while nothing is known: three times capacity may arrive
 PRIOR_WEIGHT_REQUESTS = 1.0  # the prior counts as so many requests
 MIN_PACE_SAMPLES = 3  # outcomes of a role from which its latency is known
 SMOOTHING_WEIGHT = 0.2  # of a new sample in running means
@@ -63,7 +63,7 @@
 ALL_CLASSES = -1  # key of an ejection that holds for every class
 ARRIVALS, PREFILLS, DECODES = "arrivals", "reads", "writes"  # what is counted of the flow: the last two at warm servers
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)  # the request may have been run
-ENGINE_ANSWERED = (Outcome.READ, Outcome.SERVED, Outcome.ERROR, Outcome.FULL)  # by an engine: the attempt arrived
+ENGINE_ANSWERED = (Outcome.READ, Outcome.SERVED, Outcome.ERROR, Outcome.FULL)  # the engine answered: it had arrived
 
 
 class Phase(Enum):
@@ -668,7 +668,7 @@
             event.request,
             class_settings,
             event.class_index,
-            self._is_over_quota(event.tenant),
+            self._consume_quota(event.tenant),
             event.session,
             tuple(keys or [(event.request, 0)]),
             second_key,
@@ -681,9 +681,9 @@
         self._advance(request)
         self._count_flow(ARRIVALS)  # after its own choice: no part of it can have been carried yet
 
-    def _is_over_quota(self, tenant: int) -> bool:
-        """Take one request from what the tenant has left at this node: its quota divided by the nodes, saved up for
-        QUOTA_BURST_NS."""
+    def _consume_quota(self, tenant: int) -> bool:
+        """Take one request from what the tenant has left at this node, and return whether nothing was left.  A node has
+        an equal part of the quota, saved up for QUOTA_BURST_NS."""
         if not 0 <= tenant < len(self.settings.tenants):
             return False
         rate = self.settings.tenants[tenant].quota_per_second / self.settings.routers / SECOND
