--- a/tests/test_starts_and_clocks.py
+++ b/tests/test_starts_and_clocks.py
@@ -14,7 +14,7 @@
 from stonetrack import clocks
 from stonetrack.capture import tend
 from stonetrack.capture.journal import SUFFIX
-from stonetrack.engines.starts import MOST, Starts
+from stonetrack.engines.start_times import MAX_ENGINES, StartTimes
 from tests.harness import Client, wait_for
 from tests.platform import node, platform, round_trip
 from tests.test_edge import NOW, empty_table, listing, target
@@ -66,12 +66,12 @@
 
 
 def test_an_unknown_start_stays_long_ago_and_the_table_is_bounded() -> None:
-    starts = Starts()
+    starts = StartTimes()
     assert starts.on_node_clock("s", 0, NOW, True) == 0 == starts.on_node_clock("s", -5, NOW, True)
-    for n in range(MOST + 10):
+    for n in range(MAX_ENGINES + 10):
         starts.on_node_clock(f"s{n}", 1, NOW, True)
-    assert len(starts._known) == MOST
-    assert starts.on_node_clock(f"s{MOST}", 1, NOW + SECOND, True) == NOW  # listed again after it was dropped
+    assert len(starts._known) == MAX_ENGINES
+    assert starts.on_node_clock(f"s{MAX_ENGINES}", 1, NOW + SECOND, True) == NOW  # listed again after it was dropped
 
 
 def test_a_node_with_its_wall_clock_an_hour_ahead_puts_a_restarted_engine_into_slow_start() -> None:
