--- a/stonetrack/edge/calls.py
+++ b/stonetrack/edge/calls.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from stonetrack.edge.engine_table import Engine
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
 from stonetrack.node.sockets import ResourceExhausted, close, reset
 from stonetrack.wire import http1
 from stonetrack.wire.errors import ProtocolError
@@ -58,7 +58,7 @@
 class EngineCalls:
     """Calls engines, and remembers for ``SUSPECT_NS`` which of them did not answer."""
 
-    def __init__(self, pool: Pool, clock: Callable[[], int], connect_timeout: float) -> None:
+    def __init__(self, pool: ConnectionPool, clock: Callable[[], int], connect_timeout: float) -> None:
         self._pool, self._clock, self._connect_timeout = pool, clock, connect_timeout
         self.suspect_until: dict[str, int] = {}  # node's clock in ns, by engine
 
@@ -68,12 +68,12 @@
 
     def last_heard(self, engine: Engine) -> float:
         """Monotonic time in seconds at which an engine last answered on the shared pool; 0 if it never did."""
-        return self._pool.heard(engine.host, engine.port)
+        return self._pool.last_response_at(engine.host, engine.port)
 
     def call(self, engine: Engine, message: bytes, timeout: float) -> Answer:
         """Call an engine; returns its answer.  Raises OSError; the engine then counts as suspect for ``SUSPECT_NS``."""
         try:
-            sock, age = self._pool.take(engine.host, engine.port, min(self._connect_timeout, timeout))
+            sock, age = self._pool.acquire(engine.host, engine.port, min(self._connect_timeout, timeout))
             try:
                 answer = send_and_receive(sock, message, timeout)
             except TimeoutError:
@@ -81,7 +81,7 @@
                 raise
             except OSError:
                 reset(sock)
-                self._pool.unanswered(age)
+                self._pool.record_unanswered(age)
                 raise
         except ResourceExhausted:
             raise  # a local shortage, not a failure of the engine
@@ -89,7 +89,7 @@
             self.suspect_until[engine.name] = self._clock() + SUSPECT_NS
             raise
         if answer.reusable:
-            self._pool.give(engine.host, engine.port, sock)
+            self._pool.put_back(engine.host, engine.port, sock)
         else:
             close(sock)
         return answer
--- a/stonetrack/edge/engines.py
+++ b/stonetrack/edge/engines.py
@@ -17,7 +17,7 @@
 from stonetrack.edge.releases import Releases, ReleaseWaitResult
 from stonetrack.edge.requests import ID_HEADER, TIME_LEFT_HEADER
 from stonetrack.engines.attempt import SocketAttempt
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
 from stonetrack.node.ports import Attempt, AttemptResult, InferenceRequest
 from stonetrack.node.records import Records
 from stonetrack.node.sockets import ResourceExhausted, close, readable, reset
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        pool: Pool,
+        pool: ConnectionPool,
         releases: Releases,
         probes: Probes,
         clock: Callable[[], int],
@@ -72,7 +72,7 @@
         self._engines = engines
         self.releases.list_changed(engines)
         self.probes.list_changed(engines)
-        self.pool.forget({(e.host, e.port) for e in engines.values()})
+        self.pool.retain({(e.host, e.port) for e in engines.values()})
 
     def start(
         self, ask: InferenceRequest, server: str, number: int, state: Any, place: bool, may_send: Callable[[str], bool]
@@ -84,11 +84,11 @@
         try:
             # A pending release is retried while this connects: at an unreachable engine, connecting lasts for the whole
             # timeout, and nothing of the request has been sent meanwhile.
-            sock, age = self.pool.take(engine.host, engine.port, self._connect_timeout)
+            sock, age = self.pool.acquire(engine.host, engine.port, self._connect_timeout)
             wait_result = self.releases.await_release(ask.request_id)
             if wait_result is not ReleaseWaitResult.NONE_PENDING and age is not None and readable(sock):
                 close(sock)  # the engine closed it while the release was awaited
-                sock, age = self.pool.take(engine.host, engine.port, self._connect_timeout)
+                sock, age = self.pool.acquire(engine.host, engine.port, self._connect_timeout)
         except OSError as error:
             if self._trace is not None:
                 self._trace(f"trace connect {server}: {type(error).__name__} {error}")
@@ -119,9 +119,9 @@
         attempt = SocketAttempt(
             sock,
             build_request(ask, time_left),
-            Exchange(engine.role, _LIMITS, self._parse_report, lambda: self.pool.unanswered(age)),
+            Exchange(engine.role, _LIMITS, self._parse_report, lambda: self.pool.record_unanswered(age)),
             CANCEL_CONFIRM_S,
-            lambda returned: self.pool.give(engine.host, engine.port, returned),
+            lambda returned: self.pool.put_back(engine.host, engine.port, returned),
             api.Outcome.CONNECT_FAILED,
             self._abandon_callback(ask.request_id, engine),
         )
@@ -145,7 +145,7 @@
     def idle_connections(self, server: str) -> int:
         """Number of idle connections to a server."""
         engine = self._engines.get(server)
-        return self.pool.kept(engine.host, engine.port) if engine is not None else 0
+        return self.pool.idle_count(engine.host, engine.port) if engine is not None else 0
 
     def reserve(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
         """See ``ports.Engines.reserve``: the platform's node requests no reservation (docs/obligations.md)."""
--- a/stonetrack/edge/exchange.py
+++ b/stonetrack/edge/exchange.py
@@ -65,7 +65,7 @@
     """Parses one answer by the table above; feed it bytes until it returns an ``AttemptResult``."""
 
     __slots__ = ("_awaits_first", "_body", "_ended", "_head", "_informational", "_parse_report", "_reader", "_role",
-                 "_tail", "_unanswered", "reusable", "seen", "started")  # fmt: skip
+                 "_tail", "_unanswered", "reusable", "received", "started")  # fmt: skip
 
     def __init__(
         self,
@@ -85,16 +85,16 @@
         self._informational = 0
         self.started = False
         self.reusable = False
-        self.seen = False
+        self.received = False
 
     @property
-    def settled(self) -> bool:
+    def fully_read(self) -> bool:
         """Whether the answer's last byte has arrived and nothing after it."""
         return self._reader.idle
 
     def feed(self, data: bytes) -> list[AttemptEvent]:
         """Parse received bytes into the events of the attempt."""
-        self.seen = True
+        self.received = True
         events: list[AttemptEvent] = []
         if self._ended:
             self.reusable = False  # unsolicited bytes after the answer
@@ -114,13 +114,13 @@
 
     def eof(self) -> list[AttemptEvent]:
         """The engine closed the connection."""
-        return self.reset(f"the engine closed {'within its answer' if self.seen else 'before any answer'}")
+        return self.reset(f"the engine closed {'within its answer' if self.received else 'before any answer'}")
 
     def reset(self, why: str) -> list[AttemptEvent]:
         """The connection failed."""
         events: list[AttemptEvent] = []
         self.reusable = False
-        if not self.seen and not self._ended:
+        if not self.received and not self._ended:
             self._unanswered()
         self._end(Outcome.RESET, events, why=why)
         return events
--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -36,7 +36,7 @@
 from stonetrack.edge.request_ids import RecentRequestIds
 from stonetrack.edge.sink import EdgeSink, text_response
 from stonetrack.edge.watch import DiscoveryWatch
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
 from stonetrack.frontend.connection import Connection, HttpRequest
 from stonetrack.frontend.host import Host, listen
 from stonetrack.node.core import Core
@@ -82,7 +82,7 @@
             record=record,
         )
         settings = config.settings
-        self.pool = Pool(budget.idle_connections, config.engine_idle_ns / SECOND / 2, budget.idle_connections)
+        self.pool = ConnectionPool(budget.idle_connections, config.engine_idle_ns / SECOND / 2, budget.idle_connections)
         connect = max(settings.connect_timeout, 1) / SECOND
         self.calls = EngineCalls(self.pool, self.clock, connect)
         self.records = Records(self.clock, settings.release_within, log, log_all=traced)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -24,7 +24,7 @@
     requests,
     watch,
 )
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
 from stonetrack.node.ports import AnswerStarted, AttemptResult, RawEvents
 from stonetrack.wire import http1
 
@@ -163,7 +163,7 @@
     assert b"".join(e.data for e in events if isinstance(e, RawEvents)) == b"".join(EVENTS)
     assert events[-1].outcome is api.Outcome.SERVED and events[-1].kept_tokens == 4096
     assert events[-1].report == api.LoadReport(in_flight=7.0)
-    assert answer.reusable and answer.settled
+    assert answer.reusable and answer.fully_read
 
 
 @pytest.mark.parametrize(("role", "data", "outcome", "state_missing"), [
@@ -204,7 +204,7 @@
     informational = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" * 3
     events, answer = feed(informational + STREAM + reply(200, b"again"), step)
     assert events[-1].outcome is api.Outcome.SERVED
-    assert not (answer.reusable and answer.settled)
+    assert not (answer.reusable and answer.fully_read)
     endless, _ = feed(b"HTTP/1.1 100 Continue\r\n\r\n" * 50, step)
     assert endless[-1].outcome is api.Outcome.RESET
 
@@ -350,15 +350,15 @@
     silent, answers = (
         engine_table.Engine(name, "10.0.0.1", n, PREFILL, True) for n, name in enumerate(("silent", "answers"))
     )
-    pool = Pool(4, 60.0)
+    pool = ConnectionPool(4, 60.0)
     engine_calls = calls.EngineCalls(pool, lambda: 0, 0.25)
     for engine in (silent, silent, silent, answers):
         ours, theirs = socket.socketpair()
         theirs.close()
-        pool.give(engine.host, engine.port, ours)
-    assert pool.kept(silent.host, silent.port) == 3
+        pool.put_back(engine.host, engine.port, ours)
+    assert pool.idle_count(silent.host, silent.port) == 3
     assert releases.choose_engine([silent, answers], engine_calls.last_heard, {}, 0, set()) is answers
-    pool.forget({(silent.host, silent.port)})
+    pool.retain({(silent.host, silent.port)})
     assert engine_calls.last_heard(answers) == 0.0 < engine_calls.last_heard(silent)
     pool.close()
 
