--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -114,7 +114,7 @@
         self.tenants = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
         self.bounds = Bounds(STREAM_SILENCE_NS, CLIENT_STALL_NS, 64 << 10)
         self.watch = DiscoveryWatch(config.discovery, lambda: self.engine_table.rev, self._apply_list, log)
-        self._parse_reported_skipped: frozenset[str] = frozenset()  # unusable entries of the last list, already logged
+        self._reported_skipped: frozenset[str] = frozenset()  # unusable entries of the last list, already logged
         self._refuse_after = 0  # monotonic ns from which on requests are refused; 0 for never
         self._request_ids = RecentRequestIds()
         self._request_ids_lock = threading.Lock()
@@ -159,9 +159,9 @@
         if event is None:
             return
         for each in self.engine_table.skipped:
-            if each not in self._parse_reported_skipped:
+            if each not in self._reported_skipped:
                 log(f"server list: skipped {each}")
-        self._parse_reported_skipped = frozenset(self.engine_table.skipped)
+        self._reported_skipped = frozenset(self.engine_table.skipped)
         self.calls.retain(set(self.engine_table.engines))
         self.engines.list_changed(dict(self.engine_table.engines))
         self.core.handle_event(event)
