--- a/stonetrack/edge/abandoned.py
+++ b/stonetrack/edge/abandoned.py
@@ -32,8 +32,8 @@
 from dataclasses import dataclass, field
 
 from stonetrack.edge.engine_table import Engine
-from stonetrack.engines.releases import Heard, Item
-from stonetrack.engines.releasing import Releasing
+from stonetrack.engines.release_queue import PendingRelease, ReleaseResult
+from stonetrack.engines.release_workers import ReleaseWorkers
 from stonetrack.node import sockets
 from stonetrack.node.threads import restarting_thread
 
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True)
-class _Release(Item):
+class _Release(PendingRelease):
     """One release, retried until it is acknowledged, or tried a single time if ``once``."""
 
     once: bool = False
@@ -100,16 +100,17 @@
     """Tracks abandoned prefills on a thread of its own and sends their releases.
 
     ``release_any`` tries once to release all that is held for a request, at any engine; ``release_at`` sends one
-    release to one engine (result: :class:`.Heard`); ``is_needed`` returns whether another attempt of the request needs
-    the held state.  ``within`` is the settings' release time in nanoseconds; ``max_watched`` bounds the connections.
+    release to one engine (result: :class:`.ReleaseResult`); ``is_needed`` returns whether another attempt of the
+    request needs the held state.  ``within`` is the settings' release time in nanoseconds; ``max_watched`` bounds the
+    connections.
     """
 
     def __init__(
         self,
         clock: Callable[[], int],
         within: int,
-        release_any: Callable[[Item], Heard],
-        release_at: Callable[[Engine, str], Heard],
+        release_any: Callable[[PendingRelease], ReleaseResult],
+        release_at: Callable[[Engine, str], ReleaseResult],
         is_needed: Callable[[str], bool],
         max_watched: int,
         log: Callable[[str], None],
@@ -125,7 +126,9 @@
         self._changed = threading.Condition(threading.Lock())
         self._stopping = False
         self.counts = Counts()
-        self._releasing = Releasing(clock, MAX_RETRY_PAUSE_NS, THREADS, self._run_release, self._release_ended, log=log)
+        self._releasing = ReleaseWorkers(
+            clock, MAX_RETRY_PAUSE_NS, THREADS, self._run_release, self._release_ended, log=log
+        )
         self._thread = restarting_thread("abandoned-reads", self._run, log)
 
     def __len__(self) -> int:
@@ -207,7 +210,7 @@
         attempt.acted_at = self._clock()
         attempt.next_release_at, attempt.releases_left, attempt.confirming = attempt.acted_at, CONFIRMED_RELEASES, False
         with self._releasing.changed:
-            self._releasing.book.back(attempt.engine.name, attempt.acted_at)
+            self._releasing.queue.engine_reachable(attempt.engine.name, attempt.acted_at)
             self._releasing.changed.notify_all()
 
     def _release_due(self, now: int) -> None:
@@ -262,18 +265,20 @@
     def _add(self, attempt: _Attempt, server: str, now: int, once: bool) -> None:
         self.counts.releases += 1
         with self._releasing.changed:
-            number = self._releasing.book.add(_Release(attempt.request, server, 0, None, now, once=once))
+            number = self._releasing.queue.add(_Release(attempt.request, server, 0, None, now, once=once))
             if server:
                 self._confirming[number] = attempt
             self._releasing.changed.notify_all()
 
-    def _run_release(self, item: Item) -> Heard:
+    def _run_release(self, item: PendingRelease) -> ReleaseResult:
         if not item.server:
             result = self._release_any(item)
-            return Heard.DONE if isinstance(item, _Release) and item.once else result
+            return ReleaseResult.DONE if isinstance(item, _Release) and item.once else result
         engine = self._engines.get(item.server)
-        return Heard.DONE if engine is None else self._release_at(engine, item.request)  # None: attempts were dropped
+        return (
+            ReleaseResult.DONE if engine is None else self._release_at(engine, item.request)
+        )  # None: attempts were dropped
 
-    def _release_ended(self, number: int, item: Item) -> None:
+    def _release_ended(self, number: int, item: PendingRelease) -> None:
         if (attempt := self._confirming.pop(number, None)) is not None:
             self._confirmations.append((attempt, item.tries > 1))
--- a/stonetrack/edge/releases.py
+++ b/stonetrack/edge/releases.py
@@ -22,8 +22,8 @@
 
 from stonetrack.edge.calls import EngineCalls
 from stonetrack.edge.engine_table import Engine
-from stonetrack.engines.releases import Heard, Item
-from stonetrack.engines.releasing import Releasing
+from stonetrack.engines.release_queue import PendingRelease, ReleaseResult
+from stonetrack.engines.release_workers import ReleaseWorkers
 from stonetrack.node.records import Records
 from stonetrack.node.transitions import Step
 from stonetrack.wire import writer
@@ -74,7 +74,9 @@
     ) -> None:
         self._calls, self._clock, self._records = calls, clock, records
         self._engines: dict[str, Engine] = {}
-        self._releasing = Releasing(clock, release_within, threads, self.try_any_engine, self._release_ended, log=log)
+        self._releasing = ReleaseWorkers(
+            clock, release_within, threads, self.try_any_engine, self._release_ended, log=log
+        )
         self._pending: dict[str, int] = {}  # numbers in the book by request; guarded by the same lock as the book
 
     def start(self) -> None:
@@ -108,7 +110,7 @@
         if request not in self._pending:
             return ReleaseWaitResult.NONE_PENDING
         with self._releasing.changed:
-            acknowledged = self._releasing.settle(lambda: request not in self._pending, RELEASE_WAIT_S)
+            acknowledged = self._releasing.wait_until(lambda: request not in self._pending, RELEASE_WAIT_S)
             return ReleaseWaitResult.ACKNOWLEDGED if acknowledged else ReleaseWaitResult.UNACKNOWLEDGED
 
     def release(self, request: str) -> None:
@@ -118,46 +120,48 @@
 
     def _add(self, request: str) -> None:
         with self._releasing.changed:
-            book = self._releasing.book
+            book = self._releasing.queue
             if request not in self._pending:
-                self._pending[request] = book.add(Item(request, "", 0, None, self._clock()))
-                if len(self._pending) > 2 * book.most:  # the book dropped some that were never tried
+                self._pending[request] = book.add(PendingRelease(request, "", 0, None, self._clock()))
+                if len(self._pending) > 2 * book.max_open:  # the book dropped some that were never tried
                     self._pending = {name: number for name, number in self._pending.items() if number in book}
                 self._releasing.changed.notify_all()
 
-    def _release_ended(self, number: int, item: Item) -> None:
+    def _release_ended(self, number: int, item: PendingRelease) -> None:
         if self._pending.get(item.request) == number:
             del self._pending[item.request]
 
-    def try_any_engine(self, item: Item) -> Heard:
+    def try_any_engine(self, item: PendingRelease) -> ReleaseResult:
         """Try a release once, at the engine most likely to answer.  Fulfils ``Obligation.RELEASE``."""
         engines = list(self._engines.values())
-        engine = choose_engine(engines, self._calls.last_heard, self._calls.suspect_until, self._clock(), item.tried)
+        engine = choose_engine(
+            engines, self._calls.last_heard, self._calls.suspect_until, self._clock(), item.tried_engines
+        )
         if engine is None:
-            return Heard.AGAIN
+            return ReleaseResult.RETRY
         try:
-            return self._call(engine, item.request, item.decided, RELEASE_TIMEOUT_S)
+            return self._call(engine, item.request, item.decided_at, RELEASE_TIMEOUT_S)
         except OSError as error:
-            self._note(item.request, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided=item.decided)
-            return Heard.AGAIN  # the next try goes to another engine
+            self._note(item.request, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided=item.decided_at)
+            return ReleaseResult.RETRY  # the next try goes to another engine
 
-    def try_one_engine(self, engine: Engine, request: str) -> Heard:
+    def try_one_engine(self, engine: Engine, request: str) -> ReleaseResult:
         """Try a release once at one engine, at its current address."""
         listed = self._engines.get(engine.name)
         try:
             return self._call(listed or engine, request, self._clock(), OWN_RELEASE_TIMEOUT_S)
         except ConnectionRefusedError:
-            return Heard.DONE  # the engine's process is gone, and all that it held
+            return ReleaseResult.DONE  # the engine's process is gone, and all that it held
         except OSError:
-            return Heard.GONE if listed is None else Heard.AWAY
+            return ReleaseResult.DELISTED if listed is None else ReleaseResult.UNREACHABLE
 
-    def _call(self, engine: Engine, request: str, decided: int, timeout: float) -> Heard:
+    def _call(self, engine: Engine, request: str, decided: int, timeout: float) -> ReleaseResult:
         """Send one release and record its result.  Raises OSError."""
         message = writer.request("DELETE", PATH + request, [("Host", f"{engine.host}:{engine.port}")], None)
         status = self._calls.call(engine, message, timeout).head.status
         step = Step.RELEASE_HEARD if status < 500 else Step.RELEASE_UNHEARD
         self._note(request, step, engine.name, why=str(status), decided=decided)
-        return Heard.DONE if status < 500 else Heard.AGAIN
+        return ReleaseResult.DONE if status < 500 else ReleaseResult.RETRY
 
     def _note(self, request: str, step: Step, engine: str = "", why: str = "", decided: int = 0) -> None:
         if self._records is not None:
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -1,4 +1,4 @@
-"""Readers asked for their load before a prompt is sent, and before one that is late is sent again."""
+"""Prefill engines are probed for their load before a prompt is sent, and before a late one is sent again."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 ASKING = replace(SETTINGS, may_probe=True, report_source=api.ReportSource.ANSWERS, routers=200)
 
 
-def told(fixture: RouterFixture, server: str, waiting: float) -> list[api.Action]:
-    report = api.LoadReport(1.0, 0.0, 0.1, waiting)
-    return fixture.handle(api.ProbeEnded(server, api.Outcome.SERVED, 2 * MS, report))
+def report(fixture: RouterFixture, server: str, waiting: float) -> list[api.Action]:
+    load = api.LoadReport(1.0, 0.0, 0.1, waiting)
+    return fixture.handle(api.ProbeEnded(server, api.Outcome.SERVED, 2 * MS, load))
 
 
-def learnt(settings: api.Settings = ASKING) -> RouterFixture:
-    """A router that knows how long a read takes: 1,600 tokens in 0.1 s."""
+def with_latencies(settings: api.Settings = ASKING) -> RouterFixture:
+    """A router that knows how long a prefill takes: 1,600 tokens in 0.1 s."""
     fixture = RouterFixture(settings, MANY)
     for n in range(4):
         for probe in of_type(fixture.arrive(f"warm{n}"), api.Probe):
-            sent = of_type(told(fixture, probe.server, 0.0), api.Send)
+            sent = of_type(report(fixture, probe.server, 0.0), api.Send)
         fixture.serve(fixture.finish_prefill(sent[0]))
     fixture.advance(2 * FRESH_REPORT_NS)
     return fixture
 
 
-def asked(fixture: RouterFixture, name: str, **more: object) -> tuple[str, str]:
-    """The pair that is asked; nothing is sent meanwhile."""
+def probed_pair(fixture: RouterFixture, name: str, **more: object) -> tuple[str, str]:
+    """The two engines that are probed; nothing is sent meanwhile."""
     got = fixture.arrive(name, **more)  # type: ignore[arg-type]
     assert not of_type(got, api.Send)
     first, second = (probe.server for probe in of_type(got, api.Probe))
@@ -40,146 +40,149 @@
 
 @pytest.mark.parametrize(("loads", "chosen"), [
     ((0.0, 0.0), 0),
-    ((3_000.0, 0.0), 0),  # its home, while that takes little of the aim
+    ((3_000.0, 0.0), 0),  # the preferred replica, while that takes little of the latency target
     ((40_000.0, 0.0), 1),
-    ((30_000.0, 40_000.0), 0),  # both take long: the lighter
+    ((30_000.0, 40_000.0), 0),  # both take long: the one with less work
     ((40_000.0, 30_000.0), 1),
 ])  # fmt: skip
-def test_the_one_of_two_that_has_room_gets_it(loads: tuple[float, float], chosen: int) -> None:
-    fixture = learnt()
-    pair = asked(fixture, "q", shared_prefix="b", shared=800)
-    assert not of_type(told(fixture, pair[0], loads[0]), api.Send)
-    assert single(told(fixture, pair[1], loads[1]), api.Send).server == pair[chosen]
+def test_the_engine_with_room_gets_the_request(loads: tuple[float, float], chosen: int) -> None:
+    fixture = with_latencies()
+    pair = probed_pair(fixture, "q", shared_prefix="b", shared=800)
+    assert not of_type(report(fixture, pair[0], loads[0]), api.Send)
+    assert single(report(fixture, pair[1], loads[1]), api.Send).server == pair[chosen]
 
 
 @pytest.mark.parametrize(("loads", "chosen"), [((1_500.0, 0.0), 0), ((1_700.0, 0.0), 1), ((9_000.0, 8_000.0), 0)])
-def test_a_router_that_has_read_nothing_yet_compares_backlogs(loads: tuple[float, float], chosen: int) -> None:
-    """After a restart of all routers at once, else they all crowd the homes: no pace, so nothing looks crowded."""
+def test_a_router_without_latencies_compares_backlogs(loads: tuple[float, float], chosen: int) -> None:
+    """After a restart of all routers at once: without latencies no engine looks crowded, and all requests would go to
+    the preferred replicas."""
     fixture = RouterFixture(ASKING, MANY)
-    pair = asked(fixture, "q", shared_prefix="b", shared=800, prompt=1_600)
-    told(fixture, pair[0], loads[0])
-    assert single(told(fixture, pair[1], loads[1]), api.Send).server == pair[chosen]
+    pair = probed_pair(fixture, "q", shared_prefix="b", shared=800, prompt=1_600)
+    report(fixture, pair[0], loads[0])
+    assert single(report(fixture, pair[1], loads[1]), api.Send).server == pair[chosen]
 
 
 @pytest.mark.parametrize(("waiting", "calls"), [(2_000.0, 0), (1_000.0, 1)])
-def test_a_router_that_has_read_nothing_yet_waits_for_a_reader_with_work(waiting: float, calls: int) -> None:
+def test_a_router_without_latencies_waits_for_a_prefill_engine_with_work(waiting: float, calls: int) -> None:
     fixture = RouterFixture(ASKING, MANY)
-    for server in asked(fixture, "q", prompt=1_600):
-        got = told(fixture, server, 0.0)
+    for server in probed_pair(fixture, "q", prompt=1_600):
+        got = report(fixture, server, 0.0)
     cancels = 0
     for _ in range(24):
         got = fixture.advance(50 * MS)
         for probe in of_type(got, api.Probe):
-            got = got + told(fixture, probe.server, waiting)
+            got = got + report(fixture, probe.server, waiting)
         cancels += len(of_type(got, api.Cancel))
     assert cancels == calls
 
 
-def late(fixture: RouterFixture, pair: tuple[str, str]) -> list[api.Action]:
-    """Both would take far too long."""
-    told(fixture, pair[0], 900_000.0)
-    return told(fixture, pair[1], 800_000.0)
+def report_late(fixture: RouterFixture, pair: tuple[str, str]) -> list[api.Action]:
+    """Both engines report work that takes far too long."""
+    report(fixture, pair[0], 900_000.0)
+    return report(fixture, pair[1], 800_000.0)
 
 
-def test_two_others_are_asked_before_a_request_is_refused_and_one_with_room_gets_it() -> None:
-    fixture = learnt()
-    pair = asked(fixture, "q", shared_prefix="b", shared=800)
-    got = late(fixture, pair)
+def test_two_others_are_probed_before_a_refusal_and_one_with_room_gets_the_request() -> None:
+    fixture = with_latencies()
+    pair = probed_pair(fixture, "q", shared_prefix="b", shared=800)
+    got = report_late(fixture, pair)
     others = [probe.server for probe in of_type(got, api.Probe)]
     assert not of_type(got, api.Refuse) and len(others) == 2 and not set(others) & set(pair)
-    assert not of_type(told(fixture, others[0], 850_000.0), api.Send)
-    assert single(told(fixture, others[1], 500.0), api.Send).server == others[1]
+    assert not of_type(report(fixture, others[0], 850_000.0), api.Send)
+    assert single(report(fixture, others[1], 500.0), api.Send).server == others[1]
 
 
-def test_where_the_others_are_full_too_it_is_refused_and_nobody_else_asked() -> None:
-    fixture = learnt()
+def test_where_the_others_are_full_too_it_is_refused_and_no_other_is_probed() -> None:
+    fixture = with_latencies()
     others = [
-        probe.server for probe in of_type(late(fixture, asked(fixture, "q", shared_prefix="b", shared=800)), api.Probe)
+        probe.server
+        for probe in of_type(report_late(fixture, probed_pair(fixture, "q", shared_prefix="b", shared=800)), api.Probe)
     ]
-    told(fixture, others[0], 850_000.0)
-    got = told(fixture, others[1], 850_000.0)
+    report(fixture, others[0], 850_000.0)
+    got = report(fixture, others[1], 850_000.0)
     assert of_type(got, api.Refuse) and not of_type(got, api.Probe)
 
 
-def test_one_of_the_others_that_is_half_full_does_not_read_it_anew() -> None:
-    """40,000 tokens take 0.65 of the aim: the prompt's own readers might be sent it, others not."""
-    fixture = learnt()
+def test_one_of_the_others_that_is_half_full_does_not_prefill_it_again() -> None:
+    """40,000 tokens take 0.65 of the latency target: the preferred replicas might be sent the prompt, others not."""
+    fixture = with_latencies()
     others = [
-        probe.server for probe in of_type(late(fixture, asked(fixture, "q", shared_prefix="b", shared=800)), api.Probe)
+        probe.server
+        for probe in of_type(report_late(fixture, probed_pair(fixture, "q", shared_prefix="b", shared=800)), api.Probe)
     ]
-    told(fixture, others[0], 40_000.0)
-    got = told(fixture, others[1], 40_000.0)
+    report(fixture, others[0], 40_000.0)
+    got = report(fixture, others[1], 40_000.0)
     assert of_type(got, api.Refuse) and not of_type(got, api.Send)
-    pair = asked(fixture, "q2", shared_prefix="b2", shared=800)
-    assert of_type(told(fixture, pair[0], 40_000.0) + told(fixture, pair[1], 900_000.0), api.Send)
+    pair = probed_pair(fixture, "q2", shared_prefix="b2", shared=800)
+    assert of_type(report(fixture, pair[0], 40_000.0) + report(fixture, pair[1], 900_000.0), api.Send)
 
 
-def test_a_report_that_grows_old_while_others_are_awaited_is_asked_for_again() -> None:
-    """Else its reader looked empty once the others had told, and got what it had no room for."""
-    fixture = learnt()
-    pair = asked(fixture, "q1", shared_prefix="b", shared=800)
-    others = [probe.server for probe in of_type(late(fixture, pair), api.Probe)]
+def test_a_report_that_grows_old_while_others_are_awaited_is_renewed() -> None:
+    """Otherwise its engine looked empty once the others had reported, and got a request that it had no room for."""
+    fixture = with_latencies()
+    pair = probed_pair(fixture, "q1", shared_prefix="b", shared=800)
+    others = [probe.server for probe in of_type(report_late(fixture, pair), api.Probe)]
     for server in others:
-        told(fixture, server, 850_000.0)
+        report(fixture, server, 850_000.0)
     fixture.advance(FRESH_REPORT_NS - 5 * MS)
     got = fixture.arrive("q2", shared_prefix="b", shared=800)
     answered = 0
     while len(probes := of_type(got, api.Probe)) > answered:
-        got = got + fixture.advance(5 * MS) + told(fixture, probes[answered].server, 850_000.0)
+        got = got + fixture.advance(5 * MS) + report(fixture, probes[answered].server, 850_000.0)
         answered += 1
     got = got + fixture.advance(PROBE_WAIT_NS + 50 * MS)
     assert not of_type(got, api.Send) and len(of_type(got, api.Refuse)) == 1
 
 
-def test_others_that_told_their_load_just_now_are_chosen_without_being_asked() -> None:
-    fixture = learnt()
+def test_others_with_fresh_reports_are_chosen_without_a_probe() -> None:
+    fixture = with_latencies()
     for n in range(12):
-        told(fixture, f"r{n}", 500.0)
-    pair = asked_again(fixture)
-    got = late(fixture, pair) + fixture.advance(50 * MS)
+        report(fixture, f"r{n}", 500.0)
+    pair = probed_pair_again(fixture)
+    got = report_late(fixture, pair) + fixture.advance(50 * MS)
     assert not of_type(got, api.Refuse) and single(got, api.Send).server not in pair
 
 
-def asked_again(fixture: RouterFixture) -> tuple[str, str]:
-    """The pair of a request whose readers' reports have just grown old, the others' have not."""
+def probed_pair_again(fixture: RouterFixture) -> tuple[str, str]:
+    """The two engines probed for a request: their reports have just grown old, those of the others have not."""
     probe = RouterFixture(ASKING, MANY)
-    first, second = asked(probe, "q", shared_prefix="b", shared=800)
+    first, second = probed_pair(probe, "q", shared_prefix="b", shared=800)
     fixture.advance(FRESH_REPORT_NS - 100 * MS)
     for n in range(12):
         if f"r{n}" not in (first, second):
-            told(fixture, f"r{n}", 500.0)
+            report(fixture, f"r{n}", 500.0)
     fixture.advance(150 * MS)
-    return asked(fixture, "q", shared_prefix="b", shared=800)
+    return probed_pair(fixture, "q", shared_prefix="b", shared=800)
 
 
-def test_routers_that_share_nothing_ask_the_same_two() -> None:
+def test_routers_that_share_nothing_probe_the_same_two() -> None:
     pairs = set()
     for router in range(20):
         fixture = RouterFixture(replace(ASKING, router=router), MANY)
-        pairs.add(asked(fixture, f"q{router}", session="same", shared_prefix="b", shared=800))
+        pairs.add(probed_pair(fixture, f"q{router}", session="same", shared_prefix="b", shared=800))
     assert len(pairs) == 1
 
 
-def test_what_is_not_answered_is_not_waited_for() -> None:
-    fixture = learnt()
-    first, _ = asked(fixture, "q")
+def test_a_probe_without_an_answer_is_not_waited_for() -> None:
+    fixture = with_latencies()
+    first, _ = probed_pair(fixture, "q")
     assert not of_type(fixture.advance(PROBE_WAIT_NS - MS), api.Send)
     assert single(fixture.advance(50 * MS), api.Send).server == first
 
 
-def test_a_reader_that_fails_to_answer_is_passed_over() -> None:
-    fixture = learnt()
-    first, second = asked(fixture, "q")
-    told(fixture, second, 0.0)
+def test_a_prefill_engine_whose_probe_fails_is_not_chosen() -> None:
+    fixture = with_latencies()
+    first, second = probed_pair(fixture, "q")
+    report(fixture, second, 0.0)
     got = fixture.handle(api.ProbeEnded(first, api.Outcome.TIMED_OUT, 30 * MS))
     assert single(got, api.Send).server == second
 
 
-def test_a_report_just_heard_is_not_asked_for() -> None:
-    fixture = learnt()
-    pair = asked(fixture, "q1", session="s")
+def test_no_probe_asks_for_a_fresh_report() -> None:
+    fixture = with_latencies()
+    pair = probed_pair(fixture, "q1", session="s")
     for server in pair:
-        told(fixture, server, 0.0)
+        report(fixture, server, 0.0)
     got = fixture.arrive("q2", session="s")
     assert not of_type(got, api.Probe) and single(got, api.Send).server == pair[0]
 
@@ -204,23 +207,23 @@
 
 @pytest.mark.parametrize(("waiting", "calls"), [(60_000.0, 0), (0.0, 1)])
 def test_a_late_attempt_is_called_off_unless_its_reader_tells_of_work(waiting: float, calls: int) -> None:
-    fixture = learnt()
-    for server in asked(fixture, "q"):
-        got = told(fixture, server, 0.0)
+    fixture = with_latencies()
+    for server in probed_pair(fixture, "q"):
+        got = report(fixture, server, 0.0)
     server = single(got, api.Send).server
     cancels = 0
     for _ in range(24):
         got = fixture.advance(50 * MS)
         for probe in of_type(got, api.Probe):
             assert probe.server == server
-            got = got + told(fixture, server, waiting)
+            got = got + report(fixture, server, waiting)
         cancels += len(of_type(got, api.Cancel))
     assert cancels == calls
 
 
 def test_a_late_attempt_at_a_silent_reader_is_called_off() -> None:
-    fixture = learnt()
-    for server in asked(fixture, "q"):
-        got = told(fixture, server, 0.0)
+    fixture = with_latencies()
+    for server in probed_pair(fixture, "q"):
+        got = report(fixture, server, 0.0)
     assert single(got, api.Send)
     assert of_type(fixture.advance(CLASS.first_token_aim), api.Cancel)
--- a/tests/test_edge_serving.py
+++ b/tests/test_edge_serving.py
@@ -23,7 +23,7 @@
 from stonetrack.edge.probes import Probes
 from stonetrack.edge.releases import Releases
 from stonetrack.edge.serve import ACCEPTING_S
-from stonetrack.engines.pool import Pool
+from stonetrack.engines.pool import ConnectionPool
 from stonetrack.logic import MS, SECOND
 from stonetrack.node.invariants import Invariant
 from stonetrack.node.ports import AttemptResult, InferenceRequest
@@ -149,8 +149,8 @@
         f"r{n}": engine_table.Engine(f"r{n}", "127.0.0.1", n + 1, api.Role.PREFILL, True) for n in range(2)
     }
 
-    class UnreachablePool(Pool):
-        def take(self, host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
+    class UnreachablePool(ConnectionPool):
+        def acquire(self, host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
             time.sleep(0.25)
             raise TimeoutError("timed out")
 
@@ -212,7 +212,7 @@
     with platform(1, 2) as world, node(world) as edge_node:
         client = Client(world.listen)
         assert round_trip(client, "first")[0].status == 200
-        real_take, slow = edge_node.pool.take, threading.Event()
+        real_take, slow = edge_node.pool.acquire, threading.Event()
         decode_ports = {world.engines[name].port for name in ("w0", "w1")}
 
         def connect_slowly(host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
@@ -222,7 +222,7 @@
                 time.sleep(1.0)
             return real_take(host, port, timeout)
 
-        edge_node.pool.take = connect_slowly  # type: ignore[method-assign]
+        edge_node.pool.acquire = connect_slowly  # type: ignore[method-assign]
         slow.set()
         client.send_request(b"{}", headers=headers("q"))
         assert wait_for(lambda: ("release", "r0") in world.which("q"), 5.0)
@@ -322,7 +322,7 @@
 ) -> None:
     """Connecting may last for its whole timeout; nothing may be sent after the client left, in any attempt."""
     with platform(2, 1) as world, node(world) as edge_node:
-        real_take, connecting, left = edge_node.pool.take, threading.Event(), threading.Event()
+        real_take, connecting, left = edge_node.pool.acquire, threading.Event(), threading.Event()
         ports = {engine.port: name for name, engine in world.engines.items()}
         failed: list[str] = []
         if further:
@@ -337,7 +337,7 @@
             failed.extend([ports[port]] if is_prefill else [])
             return real_take(host, port, timeout)
 
-        monkeypatch.setattr(edge_node.pool, "take", connect_slowly)
+        monkeypatch.setattr(edge_node.pool, "acquire", connect_slowly)
         client = Client(world.listen)
         client.send_request(b"{}", CHAT, headers=headers("q"))
         assert connecting.wait(5.0)
@@ -504,7 +504,7 @@
 def test_a_drain_that_is_listed_while_connecting_is_respected(monkeypatch: pytest.MonkeyPatch) -> None:
     """The list arrives between the check of it and the first byte: the attempt ends as not sent."""
     with platform(2, 1) as world, node(world) as edge_node:
-        real_take, drained = edge_node.pool.take, threading.Event()
+        real_take, drained = edge_node.pool.acquire, threading.Event()
 
         def connect_slowly(host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
             name = next(name for name, engine in world.engines.items() if engine.port == port)
@@ -514,7 +514,7 @@
                 assert wait_for(lambda: edge_node.engine_table.rev == world.rev)
             return real_take(host, port, timeout)
 
-        monkeypatch.setattr(edge_node.pool, "take", connect_slowly)
+        monkeypatch.setattr(edge_node.pool, "acquire", connect_slowly)
         assert round_trip(Client(world.listen), "q")[0].status == 200
         drained_engine = next(name for name, state in world.states.items() if state == "DRAINING")
         assert drained.is_set() and ("read", drained_engine) not in world.which("q")
@@ -600,7 +600,7 @@
     for name in ("SILENCE_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_PAUSE_S", "MAX_PAUSE_S"):
         monkeypatch.setattr(watch, name, getattr(watch, name) / 10)
     listener, watches, documents = socket.create_server(("127.0.0.1", 0)), [], []
-    head = writer.streamed(200, [("Content-Type", "application/json")])
+    head = writer.chunked_head(200, [("Content-Type", "application/json")])
 
     def agent() -> None:
         with contextlib.suppress(OSError):
