--- a/stonetrack/settings/__init__.py
+++ b/stonetrack/settings/__init__.py
@@ -1,6 +1,6 @@
-"""Settings: a Jsonnet file in, typed and checked values out, or every error at once.
+"""Settings: evaluates a Jsonnet file into typed and checked values, or reports all problems at once.
 
-:mod:`.schema` holds the types, :mod:`.check` what a type can't say, :mod:`.load` the evaluation.
+:mod:`.schema` holds the types, :mod:`.check` the checks beyond types, :mod:`.load` the evaluation.
 Inputs: a file's path.  Outputs: a ``Node``, or ``SettingsError`` naming path, value and what is allowed.
 Must not depend on: sockets, threads, the router's state.
 """
--- a/stonetrack/settings/check.py
+++ b/stonetrack/settings/check.py
@@ -1,4 +1,4 @@
-"""What the types can't say: names that must be known or unique, and values that must fit each other."""
+"""Checks beyond types: names must be defined and unique, and values must be consistent with each other."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing wrong: where it stands, what was found, what is allowed."""
+    """One problem: the path of the value, the value found, and what is allowed."""
 
     path: str
     found: object
@@ -24,7 +24,7 @@
 
 
 class SettingsError(ValueError):
-    """Settings that can't be used; ``problems`` holds all that was found."""
+    """The settings are invalid; ``problems`` holds every problem found."""
 
     def __init__(self, problems: Iterable[Problem], where: str = "settings") -> None:
         self.problems = tuple(problems)
@@ -40,8 +40,8 @@
         seen.add(name)
 
 
-def problems(node: Node) -> Iterator[Problem]:
-    """All that is wrong with settings whose types are right."""
+def find_problems(node: Node) -> Iterator[Problem]:
+    """Yield every problem of settings that have the right types."""
     yield from _repeats("models", (m.name for m in node.models))
     yield from _repeats("classes", (c.name for c in node.classes))
     yield from _repeats("kinds", (k.name for k in node.kinds))
@@ -49,26 +49,28 @@
     yield from _repeats("tenants key_hashes", (h for t in node.tenants for h in t.key_hashes))
     classes = [c.name for c in node.classes]
     models = [m.name for m in node.models]
-    for n, rule in enumerate(node.rules):
+    for index, rule in enumerate(node.rules):
         if rule.to not in classes:
-            yield Problem(f"$.rules[{n}].to", rule.to, f"a class: {', '.join(classes)}")
+            yield Problem(f"$.rules[{index}].to", rule.to, f"a class: {', '.join(classes)}")
         if rule.model and rule.model not in models:
-            yield Problem(f"$.rules[{n}].model", rule.model, f"a model: {', '.join(models)}")
+            yield Problem(f"$.rules[{index}].model", rule.model, f"a model: {', '.join(models)}")
         if rule.max_prompt_tokens and rule.max_prompt_tokens < rule.min_prompt_tokens:
             yield Problem(
-                f"$.rules[{n}].max_prompt_tokens",
+                f"$.rules[{index}].max_prompt_tokens",
                 rule.max_prompt_tokens,
                 f"0 or at least min_prompt_tokens ({rule.min_prompt_tokens})",
             )
-    for n, cls in enumerate(node.classes):
-        if cls.deadline_ms < cls.first_token_ms:
+    for index, request_class in enumerate(node.classes):
+        if request_class.deadline_ms < request_class.first_token_ms:
             yield Problem(
-                f"$.classes[{n}].deadline_ms", cls.deadline_ms, f"at least first_token_ms ({cls.first_token_ms})"
+                f"$.classes[{index}].deadline_ms",
+                request_class.deadline_ms,
+                f"at least first_token_ms ({request_class.first_token_ms})",
             )
-        if cls.deadline_ms <= 2 * node.timing.answer_margin_ms:
+        if request_class.deadline_ms <= 2 * node.timing.answer_margin_ms:
             yield Problem(
-                f"$.classes[{n}].deadline_ms",
-                cls.deadline_ms,
+                f"$.classes[{index}].deadline_ms",
+                request_class.deadline_ms,
                 f"over twice timing.answer_margin_ms ({node.timing.answer_margin_ms})",
             )
     roles = {k.role for k in node.kinds}
@@ -96,9 +98,9 @@
 
 
 def router_settings(node: Node, router: int, instances: int) -> api.Settings:
-    """What the router of one instance is told."""
-    r = node.routing
-    routers = r.routers or instances
+    """Return the settings of one instance's router, with times in nanoseconds."""
+    routing = node.routing
+    routers = routing.routers or instances
     return api.Settings(
         classes=tuple(
             api.RequestClass(
@@ -119,21 +121,21 @@
         tenants=tuple(api.Tenant(t.name, t.quota_per_second) for t in node.tenants),
         router=router % routers,
         routers=routers,
-        zone=r.zone,
-        max_attempts=r.max_attempts,
-        may_cancel=r.may_cancel,
-        may_probe=r.may_probe,
-        may_hold_place=r.may_hold_place,
-        may_advise_retry=r.may_advise_retry,
-        max_retry_after=r.max_retry_after_ms * MS,
-        writers_read=r.writers_read,
-        report_source=r.report_source,
+        zone=routing.zone,
+        max_attempts=routing.max_attempts,
+        may_cancel=routing.may_cancel,
+        may_probe=routing.may_probe,
+        may_hold_place=routing.may_hold_place,
+        may_advise_retry=routing.may_advise_retry,
+        max_retry_after=routing.max_retry_after_ms * MS,
+        writers_read=routing.writers_read,
+        report_source=routing.report_source,
         list_on_request=False,
-        connect_timeout=r.connect_timeout_ms * MS,
-        release_within=r.release_within_ms * MS,
-        cold_share=r.cold_share,
-        warm_within=r.warm_within_ms * MS,
-        cold_multiple=r.cold_multiple,
-        cold_window=r.cold_window_ms * MS,
-        over_share_worth=r.over_share_worth,
+        connect_timeout=routing.connect_timeout_ms * MS,
+        release_within=routing.release_within_ms * MS,
+        cold_share=routing.cold_share,
+        warm_within=routing.warm_within_ms * MS,
+        cold_multiple=routing.cold_multiple,
+        cold_window=routing.cold_window_ms * MS,
+        over_share_worth=routing.over_share_worth,
     )
--- a/stonetrack/settings/load.py
+++ b/stonetrack/settings/load.py
@@ -1,4 +1,4 @@
-"""Evaluates a Jsonnet file and checks the result.  ``import 'stonetrack.libsonnet'`` finds our library."""
+"""Evaluates a Jsonnet file and checks the result.  ``import 'stonetrack.libsonnet'`` imports the bundled library."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import msgspec
 import msgspec.inspect
 
-from stonetrack.settings.check import Problem, SettingsError, problems
+from stonetrack.settings.check import Problem, SettingsError, find_problems
 from stonetrack.settings.schema import Node
 
 _UNKNOWN_FIELD = re.compile(r"unknown field `([^`]*)`")
@@ -21,22 +21,22 @@
 
 
 def evaluate(path: Path, variables: Mapping[str, str] | None = None) -> str:
-    """The file's JSON text.  Raises SettingsError where it can't be read or evaluated."""
+    """Return the file's JSON text.  Raises SettingsError if the file can't be read or evaluated."""
     try:
         if path.suffix == ".json":
             return path.read_text("utf-8")
-        import rjsonnet  # here: a node that is told its settings as JSON has no need of it
+        import rjsonnet  # imported late: not needed for settings in JSON
 
         return str(
             rjsonnet.evaluate_file(str(path), jpathdir=[str(LIBRARY), str(path.parent)], ext_vars=dict(variables or {}))
         )
     except (OSError, RuntimeError, ValueError) as error:
-        found = _plain(" ".join(str(error).split()))
+        found = _shorten_message(" ".join(str(error).split()))
         raise SettingsError([Problem("$", found, "a Jsonnet file that evaluates to one object")], str(path)) from None
 
 
 def decode(text: str | bytes, kind: type[T], where: str) -> T:
-    """A value of a type from JSON.  Raises SettingsError naming path and what is allowed."""
+    """Decode a value of a type from JSON.  Raises SettingsError with the path and what is allowed."""
     try:
         return msgspec.json.decode(text, type=kind)
     except msgspec.DecodeError as error:
@@ -45,44 +45,44 @@
 
 
 def parse(text: str | bytes, where: str = "settings") -> Node:
-    """Typed settings from JSON.  Raises SettingsError naming path, value and what is allowed."""
+    """Return typed settings from JSON.  Raises SettingsError with each path, value and what is allowed."""
     try:
         raw = json.loads(text)
         node = msgspec.convert(raw, Node, strict=True)
-    except (ValueError, RecursionError) as error:  # msgspec.ValidationError and JSONDecodeError are of these
+    except (ValueError, RecursionError) as error:  # includes msgspec.ValidationError and JSONDecodeError
         message, _, path = str(error).partition(" - at `")
         at = path.rstrip("`") or "$"
         if unknown := _UNKNOWN_FIELD.search(message):
             raise SettingsError([Problem(f"{at}.{unknown[1]}", unknown[1], _fields_at(at))], where) from None
-        raise SettingsError([Problem(at, _found(text, at), message)], where) from None
-    wrong = tuple(problems(node))
-    if wrong:
-        raise SettingsError(wrong, where)
+        raise SettingsError([Problem(at, _value_at(text, at), message)], where) from None
+    found = tuple(find_problems(node))
+    if found:
+        raise SettingsError(found, where)
     return node
 
 
 def load(path: Path, variables: Mapping[str, str] | None = None) -> Node:
-    """Evaluate and check a file."""
+    """Evaluate and check a file.  Raises SettingsError."""
     return parse(evaluate(path, variables), str(path))
 
 
-def merged(base: dict[str, Any], more: dict[str, Any]) -> dict[str, Any]:
-    """Settings as JSON holds them, with some of them replaced; blocks are merged field by field."""
-    made = dict(base)
-    for name, value in more.items():
-        both = isinstance(value, dict) and isinstance(made.get(name), dict)
-        made[name] = merged(made[name], value) if both else value
-    return made
+def merged(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
+    """Return settings in JSON form with some values replaced; objects are merged field by field."""
+    result = dict(base)
+    for name, value in overrides.items():
+        is_block = isinstance(value, dict) and isinstance(result.get(name), dict)
+        result[name] = merged(result[name], value) if is_block else value
+    return result
 
 
-def _plain(message: str) -> str:
-    """The evaluator's message, its list of all that could have stood at a syntax error left out."""
+def _shorten_message(message: str) -> str:
+    """Return the evaluator's message; for a syntax error, without its list of expected tokens."""
     found = _SYNTAX.search(message)
     return f"a syntax error in line {found[2]}, column {found[3]}, at {found[1]}" if found else message
 
 
 def _fields_at(path: str) -> str:
-    """The names of the fields that the type at a path like ``$.classes[0]`` knows."""
+    """Return the field names of the type at a path like ``$.classes[0]``."""
     at = msgspec.inspect.type_info(Node)
     for part in path.removeprefix("$").replace("[", ".[").split(".")[1:]:
         if isinstance(at, (msgspec.inspect.ListType, msgspec.inspect.VarTupleType)):
@@ -94,8 +94,8 @@
     return ", ".join(field.encode_name for field in at.fields)
 
 
-def _found(text: str | bytes, path: str) -> object:
-    """The value at a path like ``$.classes[0].worth``, or a word where it can't be found."""
+def _value_at(text: str | bytes, path: str) -> object:
+    """Return the value at a path like ``$.classes[0].worth``, or a description where there is none."""
     try:
         value = json.loads(text)
         for part in path.removeprefix("$").replace("[", ".[").split(".")[1:]:
