--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -1,4 +1,4 @@
-"""Clients at their worst: bad framing, too much of everything, too slow, leaving; others are never harmed."""
+"""Faulty clients: bad framing, oversized input, slow senders and readers, disconnects; others stay unaffected."""
 
 from __future__ import annotations
 
@@ -36,15 +36,15 @@
         yield running
 
 
-def served(node: Harness) -> bool:
+def request_succeeds(node: Harness) -> bool:
     client = Client(node.port)
     head, events = client.stream(chat(stream=True))
     client.close()
     return head.status == 200 and events[-1] == b"[DONE]"
 
 
-def raw(node: Harness, data: bytes) -> tuple[int, bytes]:
-    """The status of what comes back for raw bytes, and whether the connection ends after it."""
+def raw_exchange(node: Harness, data: bytes) -> tuple[int, bytes]:
+    """Send raw bytes; return the status, and the body if the connection closes after the response."""
     client = Client(node.port)
     try:
         client.send(data)
@@ -55,7 +55,7 @@
         client.close()
 
 
-BAD = [
+BAD_FRAMING = [
     (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nX", 400),
     (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nabcde", 400),
     (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
@@ -71,15 +71,15 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "status"), BAD)
-def test_bad_framing_gets_a_plain_answer_and_the_connection_ends(node: Harness, data: bytes, status: int) -> None:
-    got, body = raw(node, data)
-    assert got == status and json.loads(body)["error"]["message"]
-    assert served(node)
+@pytest.mark.parametrize(("data", "status"), BAD_FRAMING)
+def test_bad_framing_gets_an_error_response_and_the_connection_closes(node: Harness, data: bytes, status: int) -> None:
+    received, body = raw_exchange(node, data)
+    assert received == status and json.loads(body)["error"]["message"]
+    assert request_succeeds(node)
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_client_that_sends_100_mib_reads_why_it_was_refused(node: Harness, chunked: bool) -> None:
+def test_a_client_that_sends_100_mib_receives_the_error_response(node: Harness, chunked: bool) -> None:
     client = Client(node.port)
     piece = b"a" * (1 << 20)
     if chunked:
@@ -92,11 +92,11 @@
     head, body = client.answer()
     assert head.status == 413 and b"at most" in body or b"over" in body
     client.close()
-    assert served(node)
+    assert request_succeeds(node)
 
 
 @pytest.mark.parametrize(
-    ("body", "said"),
+    ("body", "message"),
     [
         (b"", "no JSON"),
         (b"{", "no JSON"),
@@ -116,17 +116,17 @@
         (b'{"model":"demo","messages":[{"role":"user","content":"\\ud800"}]}', "no JSON"),
     ],
 )
-def test_a_bad_body_is_a_400_that_names_what(node: Harness, body: bytes, said: str) -> None:
+def test_an_invalid_body_gets_a_400_that_names_the_problem(node: Harness, body: bytes, message: str) -> None:
     client = Client(node.port)
     head, answer = client.call(body)
-    assert head.status == 400 and said in answer["error"]["message"], answer
+    assert head.status == 400 and message in answer["error"]["message"], answer
     assert answer["error"]["type"] == "invalid_request_error"
-    head, _ = client.call(chat())  # the connection serves on
+    head, _ = client.call(chat())  # the connection stays usable
     assert head.status == 200
     client.close()
 
 
-def test_a_long_prompt_full_of_commas_is_no_complex_body(node: Harness) -> None:
+def test_commas_in_a_long_prompt_do_not_count_as_values(node: Harness) -> None:
     client = Client(node.port)
     head, _ = client.call(chat('a, b, [c], {"d": "\\"e"}, ' * 2_000))
     assert head.status == 200
@@ -135,7 +135,7 @@
 
 @given(st.recursive(st.none() | st.integers() | st.text(max_size=8), lambda inner: st.lists(inner, max_size=4)
                     | st.dictionaries(st.text(max_size=4), inner, max_size=4), max_leaves=30))  # fmt: skip
-def test_the_guard_counts_what_a_decoder_would_make(value: Any) -> None:
+def test_json_limits_count_depth_as_a_decoder_does(value: Any) -> None:
     def depth(v: Any) -> int:
         inner = v.values() if isinstance(v, dict) else v if isinstance(v, list) else None
         return 0 if inner is None else 1 + max(map(depth, inner), default=0)
@@ -159,8 +159,8 @@
     client = Client(node.port)
     for n in (2, 3, 4):
         client.send_request(chat(max_tokens=n))
-    got = [json.loads(client.answer()[1])["usage"]["completion_tokens"] for _ in range(3)]
-    assert got == [2, 3, 4]
+    received = [json.loads(client.answer()[1])["usage"]["completion_tokens"] for _ in range(3)]
+    assert received == [2, 3, 4]
     client.close()
 
 
@@ -173,7 +173,7 @@
     client.close()
 
 
-def test_a_client_that_asks_before_it_sends_is_told_to_go_on(node: Harness) -> None:
+def test_a_client_that_expects_100_continue_receives_it(node: Harness) -> None:
     body = json.dumps(chat()).encode()
     client = Client(node.port)
     client.send(
@@ -185,62 +185,62 @@
     client.close()
 
 
-def test_slow_senders_take_no_thread_and_are_cut_off(node: Harness) -> None:
-    """Slowloris: half a head each, a byte now and then; others are served at once meanwhile."""
-    slow = [Client(node.port) for _ in range(150)]
-    for client in slow:
+def test_slow_senders_occupy_no_worker_and_time_out(node: Harness) -> None:
+    """Slowloris: incomplete heads, one more byte now and then; other clients are served meanwhile."""
+    slow_senders = [Client(node.port) for _ in range(150)]
+    for client in slow_senders:
         client.send(b"POST / HTTP/1.1\r\nHost: a\r\nX: ")
     before = node.node.host.workers
     start = time.monotonic()
-    assert served(node)
-    for client in slow[:20]:
+    assert request_succeeds(node)
+    for client in slow_senders[:20]:
         client.send(b"a")
     assert node.node.host.workers <= before + 1
-    statuses = [client.answer()[0].status for client in slow]
+    statuses = [client.answer()[0].status for client in slow_senders]
     assert set(statuses) == {408} and time.monotonic() - start < 10.0
-    for client in slow:
+    for client in slow_senders:
         client.close()
 
 
-def test_idle_connections_take_no_thread(node: Harness) -> None:
-    idle = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(600)]
+def test_idle_connections_occupy_no_thread(node: Harness) -> None:
+    idle_sockets = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(600)]
     assert wait_for(lambda: node.node.host.connections >= 600)
     threads = threading.active_count()
-    assert served(node) and threading.active_count() <= threads + 2
-    for sock in idle:
+    assert request_succeeds(node) and threading.active_count() <= threads + 2
+    for sock in idle_sockets:
         sock.close()
     assert wait_for(lambda: node.node.host.connections < 50)
 
 
-def test_a_client_that_reads_a_byte_at_a_time_gets_all_of_it(node: Harness) -> None:
+def test_a_client_that_reads_one_byte_at_a_time_gets_the_whole_stream(node: Harness) -> None:
     client = Client(node.port)
     client.send_request(chat(stream=True))
-    got = b""
-    while b"[DONE]\n\n\r\n0\r\n\r\n" not in got:
-        got += client.sock.recv(1)
+    received = b""
+    while b"[DONE]\n\n\r\n0\r\n\r\n" not in received:
+        received += client.sock.recv(1)
     client.close()
-    assert got.count(b"[DONE]") == 1
+    assert received.count(b"[DONE]") == 1
 
 
-def test_a_client_that_takes_nothing_is_given_up_and_its_writer_freed() -> None:
-    # More than all buffers of the kernel on the way can take, or a busy machine's writer ends before the stall shows.
-    bulky: dict[str, Any] = {"answer_least": 80_000, "answer_most": 80_000, "token_ms": 0.02}
-    more = {"limits": {"send_buffer_bytes": 8_192}, "timing": {"client_stall_ms": 600, "stream_silence_ms": 9_000}}
-    with harness(1, 1, settings=more, **bulky) as node:
+def test_a_client_that_stops_reading_is_disconnected_and_its_decode_engine_freed() -> None:
+    # More than all kernel buffers on the path hold, or a busy machine's engine ends before the stall shows.
+    long_answers: dict[str, Any] = {"answer_least": 80_000, "answer_most": 80_000, "token_ms": 0.02}
+    settings = {"limits": {"send_buffer_bytes": 8_192}, "timing": {"client_stall_ms": 600, "stream_silence_ms": 9_000}}
+    with harness(1, 1, settings=settings, **long_answers) as node:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         sock.connect(("127.0.0.1", node.port))
         body = json.dumps(chat(stream=True)).encode()
         sock.sendall(f"POST {CHAT} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
         assert wait_for(lambda: bool(node.seen("first")))
-        assert wait_for(lambda: bool(node.seen("left", engine="w0")), 15.0), "the writer was held up"
+        assert wait_for(lambda: bool(node.seen("left", engine="w0")), 15.0), "the decode engine was held up"
         assert wait_for(lambda: node.node.open_requests == 0)
         sock.close()
-        assert client_call(node, chat(max_tokens=4))[0].status == 200  # a whole answer takes a minute here
+        assert call_once(node, chat(max_tokens=4))[0].status == 200  # a full answer takes a minute here
 
 
 @pytest.mark.parametrize("when", ["first", "read", "streaming"])
-def test_a_client_that_leaves_frees_everything(node: Harness, when: str) -> None:
+def test_a_disconnected_client_leaves_no_state_and_no_reservation(node: Harness, when: str) -> None:
     states = len(node.seen("state"))
     if when == "read":
         node.fault("w0", "pause", for_ms=400)
@@ -255,10 +255,10 @@
     assert wait_for(lambda: node.node.open_requests == 0)
     engines = [slot.engine for slot in node.engines.slots.values() if slot.engine]
     assert wait_for(lambda: not any(e.states or e.places or e.streams for e in engines))
-    assert served(node)
+    assert request_succeeds(node)
 
 
-def test_a_writer_that_drains_within_a_stream_ends_it() -> None:
+def test_a_decode_engine_that_drains_completes_its_stream() -> None:
     with harness(1, 2, answer_least=40, answer_most=40, token_ms=10.0) as node:
         client = Client(node.port)
         client.send_request(chat(stream=True))
@@ -271,7 +271,7 @@
         client.close()
 
 
-def test_a_stream_that_breaks_within_an_event_ends_with_an_error_and_no_done(node: Harness) -> None:
+def test_a_stream_that_breaks_within_an_event_ends_with_an_error_and_without_done(node: Harness) -> None:
     for name in ("w0", "w1"):
         node.fault(name, "half", count=1)
     client = Client(node.port)
@@ -280,7 +280,7 @@
     assert json.loads(events[-1])["error"]["code"] == "stream_broken"
     for data in events[:-1]:
         assert json.loads(data)["choices"]
-    head, answer = client_call(node, chat())
+    head, answer = call_once(node, chat())
     assert head.status in (200, 502)
     if head.status == 502:
         assert answer["error"]["code"] == "stream_broken"
@@ -290,135 +290,135 @@
         slot.faults.halves = 0
 
 
-def client_call(node: Harness, body: Any, **more: Any) -> tuple[http1.ResponseHead, Any]:
+def call_once(node: Harness, body: Any, **arguments: Any) -> tuple[http1.ResponseHead, Any]:
     client = Client(node.port)
     try:
-        return client.call(body, **more)
+        return client.call(body, **arguments)
     finally:
         client.close()
 
 
-def test_engines_that_close_idle_connections_lose_no_request(node: Harness) -> None:
+def test_engines_that_close_idle_connections_cause_no_failure(node: Harness) -> None:
     for name in node.engines.slots:
         node.fault(name, "close_idle", on=True)
     before = len(node.log.lines)
-    assert all(served(node) for _ in range(12))
+    assert all(request_succeeds(node) for _ in range(12))
     for name in node.engines.slots:
         node.fault(name, "close_idle", on=False)
     assert not [line for line in node.log.lines[before:] if "left out" in line[0]]
 
 
-def test_an_engine_that_finds_the_request_at_fault_answers_for_itself() -> None:
+def test_an_engines_rejection_of_a_request_reaches_the_client_unchanged() -> None:
     with harness(1, 1, memory_tokens=500) as node:
-        head, answer = client_call(node, chat("long " * 1_000))
+        head, answer = call_once(node, chat("long " * 1_000))
         assert head.status == 400 and answer["error"]["code"] == "context_length_exceeded"
         assert len(node.requests("read")) == 1
 
 
-def test_a_refusal_advises_when_to_come_again(node: Harness) -> None:
+def test_a_rejection_carries_retry_after(node: Harness) -> None:
     for name in ("r0", "r1"):
         node.fault(name, "full", for_ms=2_500)
-    head, answer = client_call(node, chat(), headers="X-Time-Left-Ms: 600\r\n")
+    head, answer = call_once(node, chat(), headers="X-Time-Left-Ms: 600\r\n")
     assert head.status == 503 and int(head.headers.get("retry-after")) >= 1
     assert answer["error"]["code"] == "overloaded"
     for name in ("r0", "r1"):
         engine = node.engines.slots[name].engine
         assert engine is not None
         engine.faults.full_until = 0
-    assert wait_for(lambda: served(node))
+    assert wait_for(lambda: request_succeeds(node))
 
 
-def test_out_of_workers_is_said_plainly_and_at_once() -> None:
-    more = {"limits": {"workers": 2}}
-    with harness(1, 1, settings=more, answer_least=100, answer_most=100, token_ms=10.0) as node:
+def test_without_a_free_worker_a_request_is_rejected_at_once() -> None:
+    settings = {"limits": {"workers": 2}}
+    with harness(1, 1, settings=settings, answer_least=100, answer_most=100, token_ms=10.0) as node:
         busy = [Client(node.port) for _ in range(2)]
         for client in busy:
             client.send_request(chat(stream=True))
             assert client.sock.recv(1)
         start = time.monotonic()
-        head, answer = client_call(node, chat())
+        head, answer = call_once(node, chat())
         assert head.status == 503 and "busy" in answer["error"]["message"] and time.monotonic() - start < 2.0
         for client in busy:
             client.close()
 
 
-def test_out_of_threads_is_said_plainly(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_new_thread_a_request_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     real = threading.Thread.start
 
-    def none_left(thread: threading.Thread) -> None:
+    def fail_to_start(thread: threading.Thread) -> None:
         if thread.name.startswith("Thread-"):
             raise RuntimeError("can't start new thread")
         real(thread)
 
     with harness(1, 1) as node:
         with monkeypatch.context() as patched:
-            patched.setattr(threading.Thread, "start", none_left)
-            head, answer = client_call(node, chat())
+            patched.setattr(threading.Thread, "start", fail_to_start)
+            head, answer = call_once(node, chat())
         assert head.status == 503 and "busy" in answer["error"]["message"]
-        assert served(node)
+        assert request_succeeds(node)
 
 
-def test_out_of_descriptors_clients_are_refused_plainly_and_service_comes_back(node: Harness) -> None:
+def test_without_descriptors_clients_are_rejected_and_service_recovers(node: Harness) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    assert served(node)
-    late = [socket.socket() for _ in range(6)]
+    assert request_succeeds(node)
+    late_sockets = [socket.socket() for _ in range(6)]
     fillers: list[int] = []
     try:
         resource.setrlimit(resource.RLIMIT_NOFILE, (max(map(int, os.listdir("/proc/self/fd"))) + 20, hard))
         with contextlib.suppress(OSError):
             while True:
                 fillers.append(os.open(os.devnull, os.O_RDONLY))
-        for sock in late:
+        for sock in late_sockets:
             sock.settimeout(0.8)
             sock.connect(("127.0.0.1", node.port))
-        got = []
-        for sock in late:
+        received = []
+        for sock in late_sockets:
             try:
-                got.append(sock.recv(4_096))
+                received.append(sock.recv(4_096))
             except TimeoutError:
-                got.append(b"")  # accepted: the descriptor for it was there already
+                received.append(b"")  # accepted: a descriptor was still free
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
         for fd in fillers:
             os.close(fd)
-    refused = [data for data in got if data]
-    assert len(refused) >= 2 and all(d.startswith(b"HTTP/1.1 503 ") and b"descriptor" in d for d in refused), got
-    for sock, data in zip(late, got, strict=True):
-        if not data:  # none is accepted and lost
+    refused = [data for data in received if data]
+    assert len(refused) >= 2 and all(d.startswith(b"HTTP/1.1 503 ") and b"descriptor" in d for d in refused), received
+    for sock, data in zip(late_sockets, received, strict=True):
+        if not data:  # accepted connections are served, not lost
             sock.sendall(b"GET /health HTTP/1.1\r\nHost: a\r\n\r\n")
             assert sock.recv(4_096).startswith(b"HTTP/1.1 200 ")
         sock.close()
-    assert wait_for(lambda: served(node))
+    assert wait_for(lambda: request_succeeds(node))
 
 
-def test_too_many_connections_are_refused_plainly() -> None:
+def test_connections_over_the_limit_are_rejected() -> None:
     limits = {"limits": {"connections": 3}}
     with harness(1, 1, settings=limits, token_ms=60.0, answer_least=40, answer_most=40) as node:
-        kept = [Client(node.port) for _ in range(3)]
-        for client in kept:
+        busy_clients = [Client(node.port) for _ in range(3)]
+        for client in busy_clients:
             client.send_request(chat(stream=True))
         assert wait_for(lambda: node.node.open_requests == 3)
         refused = Client(node.port)
         head, body = refused.answer()
         assert head.status == 503 and b"connections" in body
-        for client in (*kept, refused):
+        for client in (*busy_clients, refused):
             client.close()
         assert wait_for(lambda: node.node.host.connections == 0)
-        assert served(node)
+        assert request_succeeds(node)
 
 
-def test_a_silent_connection_makes_room_for_one_that_asks() -> None:
+def test_a_silent_connection_is_closed_for_a_new_client() -> None:
     with harness(1, 1, settings={"limits": {"connections": 3}}) as node:
         silent = [Client(node.port) for _ in range(3)]
         assert wait_for(lambda: node.node.host.connections == 3)
-        assert served(node)
+        assert request_succeeds(node)
         for client in silent:
             client.close()
 
 
-def test_health_and_metrics_tell_what_passed(node: Harness) -> None:
-    assert served(node)
-    head, health = client_call(node, b"", path="/health", method="GET")
+def test_health_and_metrics_report_requests(node: Harness) -> None:
+    assert request_succeeds(node)
+    head, health = call_once(node, b"", path="/health", method="GET")
     assert head.status == 200 and health["status"] == "ok" and health["engines_up"] == 4
     client = Client(node.port)
     client.send_request(b"", path="/metrics", method="GET")
@@ -429,27 +429,27 @@
     assert 'stonetrack_events_total{event="RequestArrived"}' in text and 'stonetrack_engines{state="up"} 4.0' in text
 
 
-# KServe v2 beside it.
+# KServe v2.
 
 
 def test_kserve_v2_serves_text_on_the_same_core(node: Harness) -> None:
     def get(path: str) -> tuple[http1.ResponseHead, Any]:
-        return client_call(node, b"", path=path, method="GET")
+        return call_once(node, b"", path=path, method="GET")
 
     assert get("/v2")[1]["extensions"] == ["generate"]
     assert get("/v2/health/live")[1] == {"live": True} and get("/v2/health/ready")[1] == {"ready": True}
     assert get("/v2/models/demo")[1]["inputs"][0]["name"] == "text_input"
     assert get("/v2/models/demo/versions/1/ready")[1]["ready"] is True
     assert get("/v2/models/other")[0].status == 404 and "error" in get("/v2/models/other")[1]
-    asked = {"text_input": "Where can I charge?", "parameters": {"max_tokens": 4}}
-    head, whole = client_call(node, asked, path="/v2/models/demo/generate")
+    generate_body = {"text_input": "Where can I charge?", "parameters": {"max_tokens": 4}}
+    head, whole = call_once(node, generate_body, path="/v2/models/demo/generate")
     assert head.status == 200 and whole["model_name"] == "demo" and whole["text_output"]
     client = Client(node.port)
-    head, events = client.stream(asked, path="/v2/models/demo/generate_stream")
+    head, events = client.stream(generate_body, path="/v2/models/demo/generate_stream")
     client.close()
     assert "".join(json.loads(e)["text_output"] for e in events) == whole["text_output"]
-    _, same = client_call(node, chat(max_tokens=4))
-    assert same["choices"][0]["message"]["content"] == whole["text_output"], "one core, one answer"
+    _, chat_answer = call_once(node, chat(max_tokens=4))
+    assert chat_answer["choices"][0]["message"]["content"] == whole["text_output"], "one core, one answer"
 
 
 @pytest.mark.parametrize(
@@ -463,12 +463,12 @@
         ({"text_input": "x"}, "infer", 405),
     ],
 )
-def test_kserve_errors_are_the_protocols(node: Harness, body: Any, path: str, status: int) -> None:
-    head, answer = client_call(node, body, path=f"/v2/models/demo/{path}")
+def test_kserve_errors_have_the_protocols_form(node: Harness, body: Any, path: str, status: int) -> None:
+    head, answer = call_once(node, body, path=f"/v2/models/demo/{path}")
     assert head.status == status and isinstance(answer["error"], str)
 
 
-# What a request is for the router.
+# Classification of requests.
 
 CLASSES = [
     {"name": "chat", "first_token_ms": 1_000, "deadline_ms": 4_000},
@@ -483,46 +483,46 @@
     return http1.Headers((name.replace("_", "-"), text) for name, text in named.items())
 
 
-def test_the_first_rule_that_holds_gives_the_class() -> None:
+def test_the_first_matching_rule_assigns_the_class() -> None:
     assert class_of(SETTINGS, "demo", headers(), 10) == 0
     assert class_of(SETTINGS, "demo", headers(), 1_000) == 1
     assert class_of(SETTINGS, "demo", headers(x_class="vip"), 1_000) == 2
 
 
-def test_time_left_is_the_clients_or_the_classs_less_margin_and_what_passed() -> None:
+def test_time_left_is_the_lower_limit_less_margin_and_elapsed_time() -> None:
     assert time_left(SETTINGS, 0, headers(), 0) == 3_900_000_000
     assert time_left(SETTINGS, 0, headers(x_time_left_ms="1000"), 50_000_000) == 850_000_000
     assert time_left(SETTINGS, 0, headers(x_time_left_ms="99999"), 0) == 3_900_000_000
-    for bad in ("-1", "1.5", "soon", "0", "9" * 12, "１"):
+    for invalid in ("-1", "1.5", "soon", "0", "9" * 12, "１"):
         with pytest.raises(BadTimeLeft):
-            time_left(SETTINGS, 0, headers(x_time_left_ms=bad), 0)
+            time_left(SETTINGS, 0, headers(x_time_left_ms=invalid), 0)
 
 
-def test_the_shared_beginning_is_the_leading_system_text_and_tools() -> None:
-    def of(*messages: tuple[str, str], tools: object = None) -> Any:
+def test_the_shared_prefix_covers_tools_and_leading_system_messages() -> None:
+    def prompt_of(*messages: tuple[str, str], tools: object = None) -> Any:
         return describe_prompt([{"role": r, "content": c} for r, c in messages], tools, "m", ByteEstimator())
 
-    one = of(("system", "a" * 400), ("user", "x"))
-    two = of(("system", "a" * 400), ("user", "y" * 4_000), ("system", "later"))
+    one = prompt_of(("system", "a" * 400), ("user", "x"))
+    two = prompt_of(("system", "a" * 400), ("user", "y" * 4_000), ("system", "later"))
     assert one.shared_prefix == two.shared_prefix and one.shared_tokens == two.shared_tokens
     assert two.prompt_tokens > one.prompt_tokens > one.shared_tokens >= 100
-    assert of(("system", "b" * 400)).shared_prefix != one.shared_prefix
-    assert of(("system", "a" * 400), tools=[{"a": 1}]).shared_prefix != one.shared_prefix
-    assert of(("user", "x")).shared_prefix is None
+    assert prompt_of(("system", "b" * 400)).shared_prefix != one.shared_prefix
+    assert prompt_of(("system", "a" * 400), tools=[{"a": 1}]).shared_prefix != one.shared_prefix
+    assert prompt_of(("user", "x")).shared_prefix is None
 
 
-def test_sessions_are_kept_apart_by_tenant_and_no_name_leaves() -> None:
+def test_sessions_differ_by_tenant_and_do_not_contain_the_clients_name() -> None:
     assert session_of(("", None, "bob"), 0) == session_of(("bob",), 0) != session_of(("bob",), 1)
     assert "bob" not in session_of(("bob",), 0) and session_of(("", None), 0) == ""
 
 
-def test_keys_are_known_by_their_hashes_only() -> None:
+def test_api_keys_map_to_tenants_by_their_hashes() -> None:
     tenants = (Tenant(name="a", key_hashes=(key_hash("one"),)), Tenant(name="b", key_hashes=(key_hash("two"),)))
     assert [tenant_of(key, tenants, False) for key in ("one", "two", "three", "")] == [0, 1, None, None]
     assert tenant_of("three", tenants, True) == 0 and tenant_of("two", tenants, True) == 1
 
 
-def test_the_text_of_a_stream_is_that_of_the_whole(node: Harness) -> None:
+def test_streamed_and_whole_answers_have_the_same_text(node: Harness) -> None:
     client = Client(node.port)
     _, events = client.stream(chat("same", stream=True))
     _, whole = client.call(chat("same"))
