--- a/stonetrack/edge/abandoned.py
+++ b/stonetrack/edge/abandoned.py
@@ -276,7 +276,7 @@
             return ReleaseResult.DONE if isinstance(item, _Release) and item.once else result
         engine = self._engines.get(item.server)
         return (
-            ReleaseResult.DONE if engine is None else self._release_at(engine, item.request)
+            ReleaseResult.DONE if engine is None else self._release_at(engine, item.request_id)
         )  # None: attempts were dropped
 
     def _release_ended(self, number: int, item: PendingRelease) -> None:
--- a/stonetrack/edge/releases.py
+++ b/stonetrack/edge/releases.py
@@ -128,8 +128,8 @@
                 self._releasing.changed.notify_all()
 
     def _release_ended(self, number: int, item: PendingRelease) -> None:
-        if self._pending.get(item.request) == number:
-            del self._pending[item.request]
+        if self._pending.get(item.request_id) == number:
+            del self._pending[item.request_id]
 
     def try_any_engine(self, item: PendingRelease) -> ReleaseResult:
         """Try a release once, at the engine most likely to answer.  Fulfils ``Obligation.RELEASE``."""
@@ -140,9 +140,9 @@
         if engine is None:
             return ReleaseResult.RETRY
         try:
-            return self._call(engine, item.request, item.decided_at, RELEASE_TIMEOUT_S)
+            return self._call(engine, item.request_id, item.decided_at, RELEASE_TIMEOUT_S)
         except OSError as error:
-            self._note(item.request, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided=item.decided_at)
+            self._note(item.request_id, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided=item.decided_at)
             return ReleaseResult.RETRY  # the next try goes to another engine
 
     def try_one_engine(self, engine: Engine, request: str) -> ReleaseResult:
--- a/stonetrack/engines/background_calls.py
+++ b/stonetrack/engines/background_calls.py
@@ -152,7 +152,7 @@
     # Reservations.
 
     def reserve(self, request_id: str, server: str, attempt_number: int, callback: Callable[[bool], None]) -> None:
-        """InferenceRequest a decode engine for a reservation.
+        """Ask a decode engine for a reservation.
 
         ``callback`` gets whether it was made; it is not called if that fails or the reservation is no longer needed.
         """
@@ -237,11 +237,11 @@
         engine = self._engine_of(item.server)
         if engine is None or not engine.kind.release:
             return ReleaseResult.DONE  # the engine is gone with all held state, or releases it by its own timeout
-        body: dict[str, Any] = {"request_id": item.request, "attempt": item.attempt}
+        body: dict[str, Any] = {"request_id": item.request_id, "attempt": item.attempt_number}
         if item.state is not None:
             body["kv_transfer_params"] = item.state
         try:
-            status = self._post(engine, protocol.RELEASE_PATH, item.request, item.attempt, body)
+            status = self._post(engine, protocol.RELEASE_PATH, item.request_id, item.attempt_number, body)
         except CallFailed:
             return ReleaseResult.UNREACHABLE if self._is_listed(item.server) else ReleaseResult.DELISTED
         return ReleaseResult.DONE if status in (200, 202, 204, 404) else ReleaseResult.RETRY
--- a/stonetrack/engines/protocol.py
+++ b/stonetrack/engines/protocol.py
@@ -153,11 +153,11 @@
             self._set_outcome(Outcome.RESET, events, why=f"the engine closed {where}")
         return events
 
-    def reset(self, why: str) -> list[AttemptEvent]:
+    def reset(self, reason: str) -> list[AttemptEvent]:
         """The connection was lost for this reason; return the final events."""
         events: list[AttemptEvent] = []
         if not self._ended:
-            self._set_outcome(Outcome.RESET, events, why=why)
+            self._set_outcome(Outcome.RESET, events, why=reason)
         return events
 
     @property
--- a/stonetrack/engines/release_queue.py
+++ b/stonetrack/engines/release_queue.py
@@ -43,9 +43,9 @@
 class PendingRelease:
     """A KV state or a reservation to be released at one engine; times in nanoseconds."""
 
-    request: str
-    server: str
-    attempt: int  # number of the last attempt that it is for
+    request_id: str
+    server: str  # empty: any engine
+    attempt_number: int  # of the last attempt that it is for
     state: dict[str, Any] | None  # None for a reservation
     decided_at: int
     tries: int = 0
--- a/stonetrack/engines/release_workers.py
+++ b/stonetrack/engines/release_workers.py
@@ -75,7 +75,7 @@
             try:
                 result = self._release(item)
             except Exception as error:  # the release still has to be done
-                self._log(f"release of {item.request}: {type(error).__name__}: {error}")
+                self._log(f"release of {item.request_id}: {type(error).__name__}: {error}")
                 result = ReleaseResult.RETRY
             with self.changed:
                 if not self.queue.record_result(release_id, result, self._clock()):
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -41,7 +41,7 @@
         return ReleaseResult.DONE if self.there else ReleaseResult.UNREACHABLE
 
     def release(self, item: PendingRelease) -> ReleaseResult:
-        self.released.append(item.request)
+        self.released.append(item.request_id)
         return ReleaseResult.DONE
 
 
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -471,7 +471,7 @@
     while (at := queue.next_due()) is not None and at <= until:
         found = queue.take_due(at)
         if found is not None:
-            tries.append((at // MS, found[1].request))
+            tries.append((at // MS, found[1].request_id))
             queue.record_result(found[0], results(found[1], at), at)
     return tries
 
@@ -511,7 +511,7 @@
     found = queue.take_due(30 * MS)
     assert (
         found is not None
-        and found[1].request == "well"
+        and found[1].request_id == "well"
         and not queue.record_result(found[0], ReleaseResult.DONE, 30 * MS)
     )
     assert out[0] is not None and queue.record_result(out[0][0], ReleaseResult.UNREACHABLE, 40 * MS)
@@ -562,4 +562,4 @@
         queue.add(PendingRelease(str(n), "r0", 0, {}, 0))
     assert len(queue) == 100 and queue.dropped == 150
     found = queue.take_due(0)
-    assert found is not None and found[1].request == "150"
+    assert found is not None and found[1].request_id == "150"
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -65,7 +65,7 @@
     tried: list[str] = []
 
     def release(item: PendingRelease) -> ReleaseResult:
-        tried.append(item.request)
+        tried.append(item.request_id)
         if len(tried) == 1:
             raise ValueError("a defect")
         return ReleaseResult.DONE
