--- a/stonetrack/cli/edge.py
+++ b/stonetrack/cli/edge.py
@@ -1,4 +1,4 @@
-"""The command that runs the node on the platform's protocol."""
+"""The command that runs one node of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @click.command()
 def edge() -> None:
-    """Run one node of the platform until TERM, as EDGE_CONFIG tells; HUP reads it again."""
+    """Run one node of the platform until TERM, configured by the file that EDGE_CONFIG names; HUP reads it again."""
     from stonetrack.edge.serve import run
 
     sys.exit(run(os.environ))
--- a/stonetrack/edge/abandoned.py
+++ b/stonetrack/edge/abandoned.py
@@ -52,7 +52,7 @@
 class _Attempt:
     """One abandoned prefill attempt; times in nanoseconds of the node's clock."""
 
-    request: str
+    request_id: str
     engine: Engine
     sock: socket.socket | None
     cancelled_at: int
@@ -126,7 +126,7 @@
         self._changed = threading.Condition(threading.Lock())
         self._stopping = False
         self.counts = Counts()
-        self._releasing = ReleaseWorkers(
+        self._workers = ReleaseWorkers(
             clock, MAX_RETRY_PAUSE_NS, THREADS, self._run_release, self._release_ended, log=log
         )
         self._thread = restarting_thread("abandoned-reads", self._run, log)
@@ -141,7 +141,7 @@
 
     def start(self) -> None:
         """Start the threads."""
-        self._releasing.start()
+        self._workers.start()
         self._thread.start()
 
     def stop(self) -> None:
@@ -149,7 +149,7 @@
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
-        self._releasing.stop(0.0)
+        self._workers.stop(0.0)
         if self._thread.ident is not None:
             self._thread.join(2.0)
         with self._changed:
@@ -157,10 +157,10 @@
                 self._unwatch(attempt)
             self._table.attempts.clear()
 
-    def add(self, request: str, engine: Engine, sock: socket.socket | None) -> None:
+    def add(self, request_id: str, engine: Engine, sock: socket.socket | None) -> None:
         """Track an attempt that ended without its engine's answer; takes over its connection, if there is one."""
         now = self._clock()
-        attempt = _Attempt(request, engine, sock, now, now + int(FIRST_RELEASE_SHARE * self._within))
+        attempt = _Attempt(request_id, engine, sock, now, now + int(FIRST_RELEASE_SHARE * self._within))
         with self._changed:
             table = self._table
             self._engines[engine.name] = engine
@@ -209,9 +209,9 @@
         self.counts.told += 1
         attempt.acted_at = self._clock()
         attempt.next_release_at, attempt.releases_left, attempt.confirming = attempt.acted_at, CONFIRMED_RELEASES, False
-        with self._releasing.changed:
-            self._releasing.queue.engine_reachable(attempt.engine.name, attempt.acted_at)
-            self._releasing.changed.notify_all()
+        with self._workers.changed:
+            self._workers.queue.engine_reachable(attempt.engine.name, attempt.acted_at)
+            self._workers.changed.notify_all()
 
     def _release_due(self, now: int) -> None:
         """Send the releases that are due and drop settled attempts.  Fulfils ``Obligation.ABANDONED_READ``."""
@@ -252,7 +252,7 @@
         """Whether a release now would drop the state that another attempt of the request needs."""
         if attempt.acted_at and now > attempt.acted_at + KNOWN_STATE_SHARE * self._within:
             return False
-        return self._is_needed(attempt.request)
+        return self._is_needed(attempt.request_id)
 
     def _unwatch(self, attempt: _Attempt) -> None:
         if attempt.sock is not None:
@@ -264,21 +264,21 @@
 
     def _add(self, attempt: _Attempt, server: str, now: int, once: bool) -> None:
         self.counts.releases += 1
-        with self._releasing.changed:
-            number = self._releasing.queue.add(_Release(attempt.request, server, 0, None, now, once=once))
+        with self._workers.changed:
+            number = self._workers.queue.add(_Release(attempt.request_id, server, 0, None, now, once=once))
             if server:
                 self._confirming[number] = attempt
-            self._releasing.changed.notify_all()
+            self._workers.changed.notify_all()
 
-    def _run_release(self, item: PendingRelease) -> ReleaseResult:
-        if not item.server:
-            result = self._release_any(item)
-            return ReleaseResult.DONE if isinstance(item, _Release) and item.once else result
-        engine = self._engines.get(item.server)
+    def _run_release(self, pending: PendingRelease) -> ReleaseResult:
+        if not pending.server:
+            result = self._release_any(pending)
+            return ReleaseResult.DONE if isinstance(pending, _Release) and pending.once else result
+        engine = self._engines.get(pending.server)
         return (
-            ReleaseResult.DONE if engine is None else self._release_at(engine, item.request)
+            ReleaseResult.DONE if engine is None else self._release_at(engine, pending.request)
         )  # None: attempts were dropped
 
-    def _release_ended(self, number: int, item: PendingRelease) -> None:
+    def _release_ended(self, number: int, pending: PendingRelease) -> None:
         if (attempt := self._confirming.pop(number, None)) is not None:
-            self._confirmations.append((attempt, item.tries > 1))
+            self._confirmations.append((attempt, pending.tries > 1))
--- a/stonetrack/edge/calls.py
+++ b/stonetrack/edge/calls.py
@@ -66,7 +66,7 @@
         """Drop what is remembered of engines that are not among these."""
         self.suspect_until = {name: until for name, until in self.suspect_until.items() if name in names}
 
-    def last_heard(self, engine: Engine) -> float:
+    def last_response_at(self, engine: Engine) -> float:
         """Monotonic time in seconds at which an engine last answered on the shared pool; 0 if it never did."""
         return self._pool.last_response_at(engine.host, engine.port)
 
--- a/stonetrack/edge/engines.py
+++ b/stonetrack/edge/engines.py
@@ -29,12 +29,12 @@
 _LIMITS = http1.Limits(head=16_384, headers=64, body=8 << 20)
 
 
-def build_request(ask: InferenceRequest, time_left: int) -> bytes:
+def build_request(request: InferenceRequest, time_left: int) -> bytes:
     """Encode the HTTP request of one attempt; ``time_left`` is how long the node waits for it, in nanoseconds."""
-    body = ask.body
+    body = request.body
     headers = [
         ("Host", HOST),
-        (ID_HEADER.title(), ask.request_id),
+        (ID_HEADER.title(), request.request_id),
         (TIME_LEFT_HEADER.title(), f"{max(time_left // 1_000_000, 1)}m"),
         *body.headers,
     ]
@@ -75,7 +75,13 @@
         self.pool.retain({(e.host, e.port) for e in engines.values()})
 
     def start(
-        self, ask: InferenceRequest, server: str, number: int, state: Any, place: bool, may_send: Callable[[str], bool]
+        self,
+        request: InferenceRequest,
+        server: str,
+        attempt_number: int,
+        state: Any,
+        reserved: bool,
+        may_send: Callable[[str], bool],
     ) -> Attempt | AttemptResult:
         """See ``ports.Engines.start``."""
         engine = self._engines.get(server)
@@ -85,7 +91,7 @@
             # A pending release is retried while this connects: at an unreachable engine, connecting lasts for the whole
             # timeout, and nothing of the request has been sent meanwhile.
             sock, age = self.pool.acquire(engine.host, engine.port, self._connect_timeout)
-            wait_result = self.releases.await_release(ask.request_id)
+            wait_result = self.releases.await_release(request.request_id)
             if wait_result is not ReleaseWaitResult.NONE_PENDING and age is not None and readable(sock):
                 close(sock)  # the engine closed it while the release was awaited
                 sock, age = self.pool.acquire(engine.host, engine.port, self._connect_timeout)
@@ -102,15 +108,15 @@
             reset(sock)
             return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is draining")
         if self._trace is not None:
-            self._trace(f"trace conn {ask.request_id} {number} {server} {age}")
-        time_left = ask.body.deadline - self._clock()
+            self._trace(f"trace conn {request.request_id} {attempt_number} {server} {age}")
+        time_left = request.body.deadline - self._clock()
         if self._records is not None:
             is_prefill = engine.role is api.Role.PREFILL
             self._records.note(
-                ask.request_id,
+                request.request_id,
                 Step.SENT,
                 server,
-                number,
+                attempt_number,
                 why=_describe_age(age),
                 is_prefill=is_prefill,
                 propagated_time=time_left,
@@ -118,12 +124,12 @@
             )
         attempt = SocketAttempt(
             sock,
-            build_request(ask, time_left),
+            build_request(request, time_left),
             Exchange(engine.role, _LIMITS, self._parse_report, lambda: self.pool.record_unanswered(age)),
             CANCEL_CONFIRM_S,
             lambda returned: self.pool.put_back(engine.host, engine.port, returned),
             api.Outcome.CONNECT_FAILED,
-            self._abandon_callback(ask.request_id, engine),
+            self._abandon_callback(request.request_id, engine),
         )
         if self._trace is not None:
             self._traced_attempts[attempt] = server
@@ -132,11 +138,11 @@
                 return event
         return attempt
 
-    def _abandon_callback(self, request: str, engine: Engine) -> Callable[[socket.socket | None], None] | None:
+    def _abandon_callback(self, request_id: str, engine: Engine) -> Callable[[socket.socket | None], None] | None:
         """What to call when an attempt ends without its engine's answer; None for a decode, which leaves no state."""
         if self.abandoned is None or engine.role is not api.Role.PREFILL:
             return None
-        return partial(self.abandoned.add, request, engine)
+        return partial(self.abandoned.add, request_id, engine)
 
     def open_attempts(self) -> Counter[str]:
         """Number of attempts with open sockets, by server; counted only if tracing is on."""
@@ -147,15 +153,24 @@
         engine = self._engines.get(server)
         return self.pool.idle_count(engine.host, engine.port) if engine is not None else 0
 
-    def reserve(self, request: str, server: str, number: int, answer: Callable[[bool], None]) -> None:
+    def reserve(self, request_id: str, server: str, attempt_number: int, callback: Callable[[bool], None]) -> None:
         """See ``ports.Engines.reserve``: the platform's node requests no reservation (docs/obligations.md)."""
-        answer(False)
+        callback(False)
 
-    def release(self, request: str, reader: str, state: Any, place: str, number: int, rest: bool) -> None:
-        """See ``ports.Engines.release``.  One call releases all that is held for a request, so with ``rest`` none is
-        made: a reservation ends with the send elsewhere, and a decode engine that failed holds nothing of its own."""
-        if not rest:
-            self.releases.release(request)
+    def release(
+        self,
+        request_id: str,
+        prefill_server: str,
+        state: Any,
+        decode_server: str,
+        attempt_number: int,
+        state_remains: bool,
+    ) -> None:
+        """See ``ports.Engines.release``.  One call releases all that is held for a request, so with ``state_remains``
+        none is made: a reservation ends with the send elsewhere, and a decode engine that failed holds nothing of its
+        own."""
+        if not state_remains:
+            self.releases.release(request_id)
 
     def probe(self, server: str) -> None:
         """See ``ports.Engines.probe``."""
--- a/stonetrack/edge/exchange.py
+++ b/stonetrack/edge/exchange.py
@@ -64,19 +64,19 @@
 class Exchange:
     """Parses one answer by the table above; feed it bytes until it returns an ``AttemptResult``."""
 
-    __slots__ = ("_awaits_first", "_body", "_ended", "_head", "_informational", "_parse_report", "_reader", "_role",
-                 "_tail", "_unanswered", "reusable", "received", "started")  # fmt: skip
+    __slots__ = ("_awaits_first", "_body", "_ended", "_head", "_informational", "_on_unanswered", "_parse_report",
+                 "_reader", "_role", "_tail", "received", "reusable", "started")  # fmt: skip
 
     def __init__(
         self,
         role: Role,
         limits: http1.Limits,
         parse_report: ParseLoadReport,
-        unanswered: Callable[[], None] = lambda: None,
+        on_unanswered: Callable[[], None] = lambda: None,
     ) -> None:
         self._reader = http1.MessageReader(http1.Side.RESPONSES, limits)
         self._role = role
-        self._parse_report, self._unanswered = parse_report, unanswered
+        self._parse_report, self._on_unanswered = parse_report, on_unanswered
         self._head: http1.ResponseHead | None = None
         self._body = bytearray()  # of an answer that is not a stream, or a stream up to its first event
         self._awaits_first = False  # a stream whose first event is not complete
@@ -121,7 +121,7 @@
         events: list[AttemptEvent] = []
         self.reusable = False
         if not self.received and not self._ended:
-            self._unanswered()
+            self._on_unanswered()
         self._end(Outcome.RESET, events, why=why)
         return events
 
--- a/stonetrack/edge/releases.py
+++ b/stonetrack/edge/releases.py
@@ -44,7 +44,7 @@
 
 def choose_engine(
     engines: list[Engine],
-    last_heard: Callable[[Engine], float],
+    last_response_at: Callable[[Engine], float],
     suspect_until: dict[str, int],
     now: int,
     tried: set[str],
@@ -55,7 +55,9 @@
         tried.clear()
     if not engines:
         return None
-    best = min(engines, key=lambda e: (e.name in tried, suspect_until.get(e.name, 0) > now, not e.up, -last_heard(e)))
+    best = min(
+        engines, key=lambda e: (e.name in tried, suspect_until.get(e.name, 0) > now, not e.up, -last_response_at(e))
+    )
     tried.add(best.name)
     return best
 
@@ -74,18 +76,18 @@
     ) -> None:
         self._calls, self._clock, self._records = calls, clock, records
         self._engines: dict[str, Engine] = {}
-        self._releasing = ReleaseWorkers(
+        self._workers = ReleaseWorkers(
             clock, release_within, threads, self.try_any_engine, self._release_ended, log=log
         )
-        self._pending: dict[str, int] = {}  # numbers in the book by request; guarded by the same lock as the book
+        self._pending: dict[str, int] = {}  # numbers in the queue by request id; guarded by the lock of the queue
 
     def start(self) -> None:
         """Start the threads."""
-        self._releasing.start()
+        self._workers.start()
 
     def stop(self) -> None:
         """Stop the threads; pending releases are not sent."""
-        self._releasing.stop(0.0)
+        self._workers.stop(0.0)
 
     def list_changed(self, engines: dict[str, Engine]) -> None:
         """Use the engines of a new list."""
@@ -94,7 +96,7 @@
     @property
     def open(self) -> int:
         """Number of releases that are not acknowledged yet."""
-        return len(self._releasing)
+        return len(self._workers)
 
     def wait(self, seconds: float) -> bool:
         """Wait up to so many seconds for pending releases; returns whether all ended."""
@@ -103,66 +105,68 @@
             time.sleep(0.01)
         return not self.open
 
-    def await_release(self, request: str) -> ReleaseWaitResult:
+    def await_release(self, request_id: str) -> ReleaseWaitResult:
         """Wait, before a new attempt starts on its connection, until the request's pending release is acknowledged.
 
         Fulfils ``Obligation.RELEASE``."""
-        if request not in self._pending:
+        if request_id not in self._pending:
             return ReleaseWaitResult.NONE_PENDING
-        with self._releasing.changed:
-            acknowledged = self._releasing.wait_until(lambda: request not in self._pending, RELEASE_WAIT_S)
+        with self._workers.changed:
+            acknowledged = self._workers.wait_until(lambda: request_id not in self._pending, RELEASE_WAIT_S)
             return ReleaseWaitResult.ACKNOWLEDGED if acknowledged else ReleaseWaitResult.UNACKNOWLEDGED
 
-    def release(self, request: str) -> None:
+    def release(self, request_id: str) -> None:
         """Release all that is held for a request, in the background."""
-        self._note(request, Step.RELEASE_DECIDED)
-        self._add(request)
-
-    def _add(self, request: str) -> None:
-        with self._releasing.changed:
-            book = self._releasing.queue
-            if request not in self._pending:
-                self._pending[request] = book.add(PendingRelease(request, "", 0, None, self._clock()))
-                if len(self._pending) > 2 * book.max_open:  # the book dropped some that were never tried
-                    self._pending = {name: number for name, number in self._pending.items() if number in book}
-                self._releasing.changed.notify_all()
-
-    def _release_ended(self, number: int, item: PendingRelease) -> None:
-        if self._pending.get(item.request) == number:
-            del self._pending[item.request]
-
-    def try_any_engine(self, item: PendingRelease) -> ReleaseResult:
+        self._note(request_id, Step.RELEASE_DECIDED)
+        self._add(request_id)
+
+    def _add(self, request_id: str) -> None:
+        with self._workers.changed:
+            queue = self._workers.queue
+            if request_id not in self._pending:
+                self._pending[request_id] = queue.add(PendingRelease(request_id, "", 0, None, self._clock()))
+                if len(self._pending) > 2 * queue.max_open:  # the queue dropped some that were never tried
+                    self._pending = {name: number for name, number in self._pending.items() if number in queue}
+                self._workers.changed.notify_all()
+
+    def _release_ended(self, number: int, pending: PendingRelease) -> None:
+        if self._pending.get(pending.request) == number:
+            del self._pending[pending.request]
+
+    def try_any_engine(self, pending: PendingRelease) -> ReleaseResult:
         """Try a release once, at the engine most likely to answer.  Fulfils ``Obligation.RELEASE``."""
         engines = list(self._engines.values())
         engine = choose_engine(
-            engines, self._calls.last_heard, self._calls.suspect_until, self._clock(), item.tried_engines
+            engines, self._calls.last_response_at, self._calls.suspect_until, self._clock(), pending.tried_engines
         )
         if engine is None:
             return ReleaseResult.RETRY
         try:
-            return self._call(engine, item.request, item.decided_at, RELEASE_TIMEOUT_S)
+            return self._call(engine, pending.request, pending.decided_at, RELEASE_TIMEOUT_S)
         except OSError as error:
-            self._note(item.request, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided=item.decided_at)
+            self._note(
+                pending.request, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided_at=pending.decided_at
+            )
             return ReleaseResult.RETRY  # the next try goes to another engine
 
-    def try_one_engine(self, engine: Engine, request: str) -> ReleaseResult:
+    def try_one_engine(self, engine: Engine, request_id: str) -> ReleaseResult:
         """Try a release once at one engine, at its current address."""
         listed = self._engines.get(engine.name)
         try:
-            return self._call(listed or engine, request, self._clock(), OWN_RELEASE_TIMEOUT_S)
+            return self._call(listed or engine, request_id, self._clock(), OWN_RELEASE_TIMEOUT_S)
         except ConnectionRefusedError:
             return ReleaseResult.DONE  # the engine's process is gone, and all that it held
         except OSError:
             return ReleaseResult.DELISTED if listed is None else ReleaseResult.UNREACHABLE
 
-    def _call(self, engine: Engine, request: str, decided: int, timeout: float) -> ReleaseResult:
+    def _call(self, engine: Engine, request_id: str, decided_at: int, timeout: float) -> ReleaseResult:
         """Send one release and record its result.  Raises OSError."""
-        message = writer.request("DELETE", PATH + request, [("Host", f"{engine.host}:{engine.port}")], None)
+        message = writer.request("DELETE", PATH + request_id, [("Host", f"{engine.host}:{engine.port}")], None)
         status = self._calls.call(engine, message, timeout).head.status
         step = Step.RELEASE_HEARD if status < 500 else Step.RELEASE_UNHEARD
-        self._note(request, step, engine.name, why=str(status), decided=decided)
+        self._note(request_id, step, engine.name, why=str(status), decided_at=decided_at)
         return ReleaseResult.DONE if status < 500 else ReleaseResult.RETRY
 
-    def _note(self, request: str, step: Step, engine: str = "", why: str = "", decided: int = 0) -> None:
+    def _note(self, request_id: str, step: Step, engine: str = "", why: str = "", decided_at: int = 0) -> None:
         if self._records is not None:
-            self._records.note(request, step, engine, why=why, decided_at=decided)
+            self._records.note(request_id, step, engine, why=why, decided_at=decided_at)
--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -78,13 +78,13 @@
             self.clock,
             log=log,
             probe=self._probe,
-            release=lambda request: self.releases.release(request),
+            release=lambda request_id: self.releases.release(request_id),
             record=record,
         )
         settings = config.settings
         self.pool = ConnectionPool(budget.idle_connections, config.engine_idle_ns / SECOND / 2, budget.idle_connections)
-        connect = max(settings.connect_timeout, 1) / SECOND
-        self.calls = EngineCalls(self.pool, self.clock, connect)
+        connect_timeout = max(settings.connect_timeout, 1) / SECOND
+        self.calls = EngineCalls(self.pool, self.clock, connect_timeout)
         self.records = Records(self.clock, settings.release_within, log, log_all=traced)
         self.releases = Releases(self.calls, self.clock, settings.release_within, log=log, records=self.records)
         self.abandoned = AbandonedPrefills(
@@ -102,7 +102,7 @@
             self.releases,
             self.probes,
             self.clock,
-            connect,
+            connect_timeout,
             self._parse_report,
             log if traced else None,
             self.records,
@@ -206,19 +206,21 @@
             return sink.respond(503, "this node is shutting down: try again elsewhere")
         try:
             waited_ns = time.monotonic_ns() - request.arrived
-            ask = requests.parse_request(head, request.body, self.classes, waited_ns, self.clock(), self.tenants)
+            parsed = requests.parse_request(head, request.body, self.classes, waited_ns, self.clock(), self.tenants)
         except requests.BadRequest as error:
             return sink.respond(error.status, str(error))
         with self._request_ids_lock:
-            is_new = self._request_ids.add(ask.request_id, self.clock())
+            is_new = self._request_ids.add(parsed.request_id, self.clock())
         if not is_new:
-            return sink.respond(409, f"request {ask.request_id}: this id was used before; each request needs its own")
-        cls = self.config.settings.classes[ask.class_index]
-        self.records.open(ask.request_id, f"{cls.name} ({cls.effect.value})", cls.effect, ask.body.deadline)
+            return sink.respond(
+                409, f"request {parsed.request_id}: this id was used before; each request needs its own"
+            )
+        cls = self.config.settings.classes[parsed.class_index]
+        self.records.open(parsed.request_id, f"{cls.name} ({cls.effect.value})", cls.effect, parsed.body.deadline)
         try:
-            lifecycle = RequestRunner(self.core, self.engines, self.bounds, ask, sink, waker, self.records).run()
+            lifecycle = RequestRunner(self.core, self.engines, self.bounds, parsed, sink, waker, self.records).run()
         finally:
-            self.records.close(ask.request_id)
+            self.records.close(parsed.request_id)
         return sink.keep and not lifecycle.client_gone
 
     # Signals.
--- a/stonetrack/edge/sink.py
+++ b/stonetrack/edge/sink.py
@@ -43,10 +43,10 @@
         head = writer.chunked_head if self.request.head.accepts_chunked else writer.close_delimited_head
         self._head = head(200, fields)
 
-    def send_part(self, piece: ports.AnswerPart) -> None:
+    def send_part(self, part: ports.AnswerPart) -> None:
         """Forward events unchanged."""
-        assert isinstance(piece, ports.RawEvents)
-        data = writer.chunk(piece.data) if self.request.head.accepts_chunked else piece.data
+        assert isinstance(part, ports.RawEvents)
+        data = writer.chunk(part.data) if self.request.head.accepts_chunked else part.data
         if self._head:
             data, self._head = self._head + data, b""
         self.connection.write(data)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -320,10 +320,10 @@
     """Not to a silent engine with idle connections: each try there costs the whole timeout."""
     engines = [engine_table.Engine(name, "10.0.0.1", n, PREFILL, up) for n, (name, up) in enumerate(
         (("silent", True), ("answers", True), ("failed", True), ("drains", False), ("unheard", True)))]  # fmt: skip
-    last_heard = {"silent": 5.0, "answers": 9.0, "failed": 9.5, "drains": 9.9}
+    last_response_at = {"silent": 5.0, "answers": 9.0, "failed": 9.5, "drains": 9.9}
     tried: set[str] = set()
     order = [
-        releases.choose_engine(engines, lambda e: last_heard.get(e.name, 0.0), {"failed": 20}, 10, tried)
+        releases.choose_engine(engines, lambda e: last_response_at.get(e.name, 0.0), {"failed": 20}, 10, tried)
         for _ in range(6)
     ]
     names = [engine.name for engine in order if engine is not None]
@@ -357,9 +357,9 @@
         theirs.close()
         pool.put_back(engine.host, engine.port, ours)
     assert pool.idle_count(silent.host, silent.port) == 3
-    assert releases.choose_engine([silent, answers], engine_calls.last_heard, {}, 0, set()) is answers
+    assert releases.choose_engine([silent, answers], engine_calls.last_response_at, {}, 0, set()) is answers
     pool.retain({(silent.host, silent.port)})
-    assert engine_calls.last_heard(answers) == 0.0 < engine_calls.last_heard(silent)
+    assert engine_calls.last_response_at(answers) == 0.0 < engine_calls.last_response_at(silent)
     pool.close()
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -140,7 +140,8 @@
         ("left, closed = self._client_left(), not", "left, closed = False, not")), (SLOW,),
         msgspec.structs.replace(USUAL, leave_early=1.0), names_itself=False),
     Broken(7, "edge/engines.py", (
-        ("left = ask.body.deadline - self._clock()\n", "left = ask.body.deadline - self._clock() + 2_000_000_000\n"),)),
+        ("time_left = request.body.deadline - self._clock()\n",
+         "time_left = request.body.deadline - self._clock() + 2_000_000_000\n"),)),
     Broken(1, "edge/sink.py", (("case ports.Failed(why):\n", "case ports.Failed(why) if why == 0:\n"),), (HANGS,),
            names_itself=False),
     Broken(8, "edge/sink.py", (
