--- a/stonetrack/durable.py
+++ b/stonetrack/durable.py
@@ -1,8 +1,8 @@
-"""Files that last: a state written whole or not at all, and durable before anybody is told of it.
+"""Atomic, durable writes of files: the new state is on disk before anybody is told of it, or not at all.
 
-A write goes to a temporary file beside its target.  That is synced, renamed over the target, and the folder synced, so
-that after a loss of power the target holds the state before or the one after.  After any error the temporary file is
-removed and the next write begins with a new one: pages whose sync failed are not trusted (fsync(2)).
+Data is written to a temporary file beside the target, which is synced and renamed over the target; then the directory
+is synced.  After a power loss the target holds the state before or after the write.  After any error the temporary file
+is removed and the next write starts a new one, since pages whose sync failed can't be trusted (fsync(2)).
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 import os
 from pathlib import Path
 
-_TEMPORARY = ".new"
+_TEMPORARY_SUFFIX = ".new"
 
 
-def sync_directory(folder: Path) -> None:
-    """Make names in a folder durable.  Raises OSError."""
-    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+def sync_directory(directory: Path) -> None:
+    """Make the file names in a directory durable.  Raises OSError."""
+    descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
     finally:
@@ -24,29 +24,31 @@
 
 
 def save(path: Path, data: bytes) -> None:
-    """Write a file whole or not at all.  Raises OSError; the target then holds the state before, or after an error of
-    the last sync alone, the new one."""
-    fresh = path.with_name(f"{path.name}.{os.getpid()}{_TEMPORARY}")
+    """Replace a file atomically and durably.
+
+    Raises OSError; the target then holds the state before, or the new state where only the last sync failed.
+    """
+    temporary = path.with_name(f"{path.name}.{os.getpid()}{_TEMPORARY_SUFFIX}")
     try:
-        with open(fresh, "wb") as out:
+        with open(temporary, "wb") as out:
             out.write(data)
             out.flush()
             os.fsync(out.fileno())
-        os.replace(fresh, path)
+        os.replace(temporary, path)
     except BaseException:
         with contextlib.suppress(OSError):
-            fresh.unlink(missing_ok=True)
+            temporary.unlink(missing_ok=True)
         raise
     sync_directory(path.parent)
-    _remove_left_behind(path, fresh)
+    _remove_orphans(path, temporary)
 
 
-def _remove_left_behind(path: Path, own: Path) -> None:
-    """Remove temporary files of processes that were killed within a write."""
-    for other in path.parent.glob(f"{path.name}.*{_TEMPORARY}"):
-        maker = other.name.removeprefix(f"{path.name}.").removesuffix(_TEMPORARY)
-        if other == own or not maker.isdecimal():
+def _remove_orphans(path: Path, own_temporary: Path) -> None:
+    """Remove temporary files of processes that were killed during a write."""
+    for other in path.parent.glob(f"{path.name}.*{_TEMPORARY_SUFFIX}"):
+        writer_pid = other.name.removeprefix(f"{path.name}.").removesuffix(_TEMPORARY_SUFFIX)
+        if other == own_temporary or not writer_pid.isdecimal():
             continue
         with contextlib.suppress(OSError):
-            if not os.path.exists(f"/proc/{maker}"):
+            if not os.path.exists(f"/proc/{writer_pid}"):
                 other.unlink(missing_ok=True)
--- a/stonetrack/node/core.py
+++ b/stonetrack/node/core.py
@@ -1,11 +1,11 @@
-"""Where events meet the router: one at a time, in one order.
+"""The single point where events reach the router, one at a time and in one order.
 
-The order.  ``handle_event`` takes a lock, reads the clock, hands the event to ``Router.handle`` and sorts its actions
-into the mailboxes of the requests they are for, then lets go.  So events are ordered by who takes the lock first, their
-times never step back, and a request's mailbox holds its commands in the order they were decided.  Nothing blocks
-under the lock: no socket is touched there, and the router is pure.
+Order: ``handle_event`` takes a lock, reads the clock, passes the event to ``Router.handle``, sorts the actions into the
+mailboxes of the requests that they are for, and releases the lock.  Events are thus ordered by who takes the lock
+first, their times never go back, and a request's mailbox holds its actions in the order in which they were decided.
+Nothing blocks under the lock: no socket is used there, and the router is pure.
 
-Each request is run by one thread, which alone touches its sockets.  A command decided in another thread (a sweep, a
+Each request is run by one thread, which alone uses its sockets.  An action decided in another thread (by a timer or a
 server list) wakes it through ``Mailbox.wake``.
 """
 
@@ -22,18 +22,18 @@
 from stonetrack.node.ports import InferenceRequest
 from stonetrack.node.threads import restarting_thread
 
-TIMER_RETRY_NS = 100_000_000  # nanoseconds after which a timer fires again that failed
+TIMER_RETRY_NS = 100_000_000  # delay after which a timer whose callback failed fires again
 
 
 class RouterProtocol(Protocol):
-    """What the core needs of ``stonetrack.logic.Router``."""
+    """What the core requires of ``stonetrack.logic.Router``."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event; the actions to carry out."""
+        """Handle one event and return the actions to carry out."""
 
 
 class Mailbox:
-    """One request's mailbox."""
+    """Actions for one request that its thread has not carried out yet."""
 
     __slots__ = ("acting_version", "owner_blocked", "actions", "thread_id", "released", "request_id", "wake")
 
@@ -42,13 +42,13 @@
         self.actions: deque[api.Action] = deque()
         self.thread_id = threading.get_ident()
         self.wake = wake
-        self.acting_version = ""  # what its last send was decided with
-        self.owner_blocked = False  # its thread is in a call that may last, and carries out nothing meanwhile
-        self.released = False  # a release was carried out in its place, since it was last unblocked
+        self.acting_version = ""  # settings and server list that its last send was decided with
+        self.owner_blocked = False  # its thread is in a call that may block, and carries out nothing meanwhile
+        self.released = False  # a release was carried out on the thread's behalf during that call
 
 
 class Core:
-    """One instance's router and what surrounds it."""
+    """One instance's router, with its lock, timers and the mailboxes of its requests."""
 
     def __init__(
         self,
@@ -63,14 +63,14 @@
         acting_version: Callable[[], str] | None = None,
     ) -> None:
         self.clock = clock
-        self._acting_version = acting_version  # asked under the lock, at each decision to send
+        self._acting_version = acting_version  # called under the lock, at each decision to send
         self.router = router
         self._log, self._probe, self._subscribe = log, probe, subscribe
-        self._release = release  # carries out a release at once, by request, where that needs nothing of its thread
-        self._record = record  # told of every call under the lock; must not wait
+        self._release = release  # carries out a request's release at once, where that needs nothing of its thread
+        self._record = record  # called with every event under the lock; must not block
         self._lock = threading.Lock()
         self._mailboxes: dict[str, Mailbox] = {}
-        self._closed: dict[str, int] = {}  # servers that the list told of as leaving: when
+        self._closed: dict[str, int] = {}  # servers that the list reported as draining or gone, and since when
         self.events: Counter[str] = Counter()
         self.actions: Counter[str] = Counter()
         self._timers = Timers(lambda token: self.handle_event(api.TimerFired(token)), log)
@@ -85,11 +85,11 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests taken and not yet over."""
+        """Requests accepted and not yet finished."""
         return len(self._mailboxes)
 
     def accept_request(self, request: InferenceRequest, wake: Callable[[], None]) -> Mailbox:
-        """Take a request: from now on it is owed one final answer."""
+        """Accept a request: from now on it is owed one final answer."""
         mailbox = Mailbox(request.request_id, wake)
         self.handle_event(
             api.RequestArrived(
@@ -109,40 +109,40 @@
         return mailbox
 
     def acting_version_of(self, request_id: str) -> str:
-        """What a request's last send was decided with; empty where nobody asks for it."""
+        """Settings and server list that a request's last send was decided with; empty where they are not recorded."""
         mailbox = self._mailboxes.get(request_id)
         return mailbox.acting_version if mailbox is not None else ""
 
-    def run_exclusively(self, do: Callable[[], None]) -> None:
-        """Do something between two events; it must be quick."""
+    def run_exclusively(self, callback: Callable[[], None]) -> None:
+        """Run a callback between two events; it must not block."""
         with self._lock:
-            do()
+            callback()
 
     def finish_request(self, mailbox: Mailbox) -> None:
-        """The request is over; its mailbox is closed."""
+        """Remove the mailbox of a finished request."""
         with self._lock:
             self._mailboxes.pop(mailbox.request_id, None)
 
     def may_send(self, server: str) -> bool:
-        """Whether the last list that came still has the server up.
+        """Whether the latest server list still has the server up.
 
-        A send decided just before a list told of a drain may not have been written yet; it is asked here again,
-        and taken back as not sent, so that the grace is kept however long connecting took.
+        A send decided just before a list announced a drain may not have been written yet.  The check is repeated here,
+        and such a send is reported as not sent, so that the grace period holds however long connecting took.
 
         Owed: ``Obligation.TOLD_CHANGE``.
         """
         return server not in self._closed
 
     def closed_for(self, server: str) -> int:
-        """Nanoseconds since a list told that the server is to be sent nothing; 0 where it may be."""
+        """Nanoseconds since a list announced that the server takes no new requests; 0 where it does."""
         since = self._closed.get(server)
         return 0 if since is None else max(1, self.clock() - since)
 
     def handle_event(self, event: api.Event, mailbox: Mailbox | None = None) -> None:
-        """Hand one event to the router and its actions to those who carry them out."""
-        me = threading.get_ident()
-        woken: list[Mailbox] = []
-        outside: list[api.Action] = []
+        """Pass one event to the router and its actions to the threads and callbacks that carry them out."""
+        this_thread = threading.get_ident()
+        to_wake: list[Mailbox] = []
+        unlocked_actions: list[api.Action] = []
         with self._lock:
             now = self.clock()
             if mailbox is not None:
@@ -158,20 +158,20 @@
                 if isinstance(action, api.SetTimer):
                     self._timers.add(action.token, action.delay)
                 elif isinstance(action, (api.Probe, api.Log, api.Subscribe)):
-                    outside.append(action)
-                elif (owner := self._mailboxes.get(action.request)) is not None:
-                    owner.actions.append(action)
-                    if isinstance(action, api.Release) and owner.owner_blocked and self._release is not None:
-                        # A thread told is not a release sent: its thread may connect for longer than is left.
-                        owner.released = True
-                        outside.append(action)
+                    unlocked_actions.append(action)
+                elif (recipient := self._mailboxes.get(action.request)) is not None:
+                    recipient.actions.append(action)
+                    if isinstance(action, api.Release) and recipient.owner_blocked and self._release is not None:
+                        # Waking the thread is not enough: it may be connecting for longer than the release may take.
+                        recipient.released = True
+                        unlocked_actions.append(action)
                     if self._acting_version is not None and isinstance(action, api.Send):
-                        owner.acting_version = self._acting_version()
-                    if owner.thread_id != me and (not woken or woken[-1] is not owner):
-                        woken.append(owner)
-        for each in woken:
-            each.wake()
-        for action in outside:
+                        recipient.acting_version = self._acting_version()
+                    if recipient.thread_id != this_thread and (not to_wake or to_wake[-1] is not recipient):
+                        to_wake.append(recipient)
+        for woken in to_wake:
+            woken.wake()
+        for action in unlocked_actions:
             if isinstance(action, api.Probe):
                 self._probe(action.server)
             elif isinstance(action, api.Log):
@@ -193,18 +193,18 @@
             for server in list(getattr(self.router, "servers", ())):
                 if server not in listed:
                     self._closed.setdefault(server, now)
-        if len(self._closed) > 4_096:  # names that never come back; the oldest are forgotten
+        if len(self._closed) > 4_096:  # bounds names that never return; the oldest are dropped
             for server in sorted(self._closed, key=self._closed.__getitem__)[:1_024]:
                 del self._closed[server]
 
 
 class Timers:
-    """One thread that calls back when timers are due; used for the router's few."""
+    """A thread that calls back when timers are due; the router has few of them."""
 
-    def __init__(self, fire: Callable[[int], None], log: Callable[[str], None]) -> None:
-        self._fire, self._log = fire, log
+    def __init__(self, callback: Callable[[int], None], log: Callable[[str], None]) -> None:
+        self._callback, self._log = callback, log
         self._heap: list[tuple[int, int, int]] = []
-        self._count = 0
+        self._sequence = 0
         self._changed = threading.Condition(threading.Lock())
         self._stopping = False
         self._thread = restarting_thread("timers", self._run, log)
@@ -214,7 +214,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread; timers not due are dropped."""
+        """End the thread; pending timers are dropped."""
         with self._changed:
             self._stopping = True
             self._changed.notify()
@@ -222,11 +222,11 @@
             self._thread.join(2.0)
 
     def add(self, token: int, delay: int) -> None:
-        """Call back with the token after so many nanoseconds."""
+        """Call back with the token after ``delay`` nanoseconds."""
         with self._changed:
-            self._count += 1
-            heapq.heappush(self._heap, (time.monotonic_ns() + delay, self._count, token))
-            if self._heap[0][1] == self._count:
+            self._sequence += 1
+            heapq.heappush(self._heap, (time.monotonic_ns() + delay, self._sequence, token))
+            if self._heap[0][1] == self._sequence:
                 self._changed.notify()
 
     def _run(self) -> None:
@@ -241,7 +241,7 @@
                     return
                 _, _, token = heapq.heappop(self._heap)
             try:
-                self._fire(token)
-            except Exception as error:  # a router that failed once still needs its timers
-                self._log(f"timer {token}: {type(error).__name__}: {error}; it fires again")
+                self._callback(token)
+            except Exception as error:  # the router still needs its timers after a failure
+                self._log(f"timer {token}: {type(error).__name__}: {error}; it will fire again")
                 self.add(token, TIMER_RETRY_NS)
--- a/stonetrack/node/obligations.py
+++ b/stonetrack/node/obligations.py
@@ -1,11 +1,11 @@
-"""What a node owes, what begins it, what alone ends it, and who acts when its time is nearly over.  No I/O.
+"""What a node owes, what begins each obligation, what alone ends it, and who acts before its deadline.  No I/O.
 
-One table for router, run-time check, emulated engines and oracle, read off the protocol's page.  docs/obligations.md
-shows it; a test keeps the two alike and looks for every function that is named here.
+One table for the router, the run-time check, the emulated engines and the oracle, taken from the protocol's page.
+docs/obligations.md shows it; a test keeps the two alike and looks up every function named here.
 
 The rule under all rows: only an answer on the connection of the call itself, by the engine that was called, after the
-call, ends what is owed.  An answer of another engine, an older answer, an answer on another connection, a connect that
-came up, bytes that a kernel took: each may guide a choice, and none ends anything.
+call, ends an obligation.  An answer of another engine, an older answer, an answer on another connection, a connection
+that was established, bytes that a kernel accepted: each may guide a choice, and none ends an obligation.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Obligation(Enum):
-    """One kind of thing owed; the text is its name in the docs."""
+    """Kind of obligation; the value is its name in the docs."""
 
     ANSWER = "answer"
     ATTEMPT = "attempt"
@@ -30,8 +30,8 @@
 class Row:
     """One row of the table.
 
-    ``acts`` names the functions that act before the deadline, ``checked_by`` those that look whether they did: the
-    node's own first where it has one, then the oracle's or the emulated engines' books; each as ``module:name``.
+    ``acts`` names the functions that act before the deadline, ``checked_by`` those that check that they did: the node's
+    own first where it has one, then those of the oracle or of the emulated engines; each as ``module:name``.
     """
 
     obligation: Obligation
@@ -51,17 +51,17 @@
     Row(
         Obligation.ANSWER,
         "the last byte of a request is read on a connection that this machine accepted",
-        "the last byte of its final answer is written, or its client closes or resets",
-        "the client's time, and 0.5 s in which it only earns nothing",
+        "the last byte of its final answer is written, or its client closes or resets the connection",
+        "the client's deadline, and 0.5 s in which an answer is useless but no violation",
         (LOGIC + "_refuse_or_fail", "stonetrack.node.request_lifecycle:RequestLifecycle.check_deadlines"),
         (LEDGER + "check", ORACLE + "_answers"),
     ),
     Row(
         Obligation.ATTEMPT,
         "its first byte is written",
-        "its engine's whole answer or the connection's end; a close or an end of sending gives it up, and ends nothing "
-        "at its engine",
-        "the time that it told its engine",
+        "its engine's whole answer or the connection's end; a close or a half close abandons it, and ends nothing at "
+        "its engine",
+        "the time limit that it passed to its engine",
         (
             LOGIC + "_cancel_late",
             "stonetrack.node.request_lifecycle:RequestLifecycle.check_deadlines",
@@ -74,23 +74,23 @@
         "its prefill engine answers 202 on the attempt's connection",
         "a first event or a 410 on the connection of a decode attempt; or any engine's answer to a release that was "
         "decided later",
-        "the settings' time and 0.3 s after the last attempt that has arrived ended",
+        "the configured time and 0.3 s after the last attempt that has arrived ended",
         (LOGIC + "_advance", LOGIC + "_release_unproven"),
         (LEDGER + "check", ORACLE + "_held", ENGINES + "still_held"),
     ),
     Row(
         Obligation.RESERVATION,
-        "the call for it is written, whatever is answered",
+        "the call for it is written, whatever the answer",
         "404 or 409 on the call's connection; or any engine's answer to a release that was decided later",
-        "the settings' time and 0.3 s after the call, since no prefill attempt is known to have arrived",
+        "the configured time and 0.3 s after the call, since no prefill attempt is known to have arrived",
         (LOGIC + "_probe_decode",),
         (ORACLE + "_held", ENGINES + "reserve"),
     ),
     Row(
         Obligation.ABANDONED_READ,
-        "a prefill attempt that was written whole ends without its engine's word",
-        "its connection has ended, and its engine has answered a release that was written after the giving up",
-        "the settings' time and 0.3 s after each moment from which its engine may have left a state",
+        "a prefill attempt that was written completely ends without its engine's answer",
+        "its connection has ended, and its engine has answered a release that was written after it was abandoned",
+        "the configured time and 0.3 s after each moment from which its engine may have left a state",
         ("stonetrack.edge.abandoned:AbandonedReads._look",),
         (ORACLE + "_held", ENGINES + "read"),
     ),
@@ -106,7 +106,7 @@
         Obligation.TOLD_CHANGE,
         "discovery has written it to the node, or a watch has been silent for 6 s",
         "no attempt begins at the engine any more",
-        "the settings' grace",
+        "the configured grace period",
         ("stonetrack.node.core:Core.may_send", "stonetrack.edge.watch:Watch"),
         (LEDGER + "may_begin", ORACLE + "_drains"),
     ),
@@ -114,7 +114,7 @@
 
 
 def markdown() -> str:
-    """The table as docs/obligations.md has it."""
+    """The table in Markdown, as docs/obligations.md shows it."""
     lines = ["| obligation | begins | ends alone by | deadline | who acts | who checks |", "| --- " * 6 + "|"]
     for row in TABLE:
         acts, checks = (
--- a/stonetrack/node/ports.py
+++ b/stonetrack/node/ports.py
@@ -1,7 +1,7 @@
-"""The seam: what the node asks of a front (``Sink``) and of the engines' side (``Engines``, ``Attempt``).
+"""The interfaces between the node, a frontend (``Sink``) and the engine client (``Engines``, ``Attempt``).
 
-Both sides are handed in, so that a second front shares decisions, rules and limits with the first, and a test can
-stand in for either.  Times are nanoseconds on the node's clock (``Clock``: Unix time at start, then monotonic).
+Implementations of both are passed in, so that all frontends share decisions, rules and limits, and a test can replace
+either with a fake.  Times are nanoseconds on the node's clock (``Clock``: Unix time at start, then monotonic).
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InferenceRequest:
-    """One request as a front hands it over.
+    """One request as a frontend passes it on.
 
-    ``body`` is the request in the form that its front and its engines' side agree on; the node never looks into it.
-    ``time_left`` is how long the client waits for a first token, margin for the answer's way already off.
+    ``body`` is the request in a form that its frontend and the engine client agree on; the node never looks into it.
+    ``time_left`` is how long the client waits for a first token, less a margin for the answer's way back.
     """
 
     request_id: str
@@ -33,10 +33,10 @@
     shared_tokens: int = 0
     max_answer_tokens: int = 0
     tenant: int = 0
-    idempotency_key: str = ""  # the client's idempotency key
-    buffered: bool = False  # the client sees nothing before the whole answer, which is then due in ``time_left``
+    idempotency_key: str = ""  # as the client gave it
+    buffered: bool = False  # the client receives the answer as a whole, which is then due within ``time_left``
     repeated: bool = False
-    settings: Any = None  # the settings that the front read it by, where these may change meanwhile
+    settings: Any = None  # that the frontend read the request with, where they may change meanwhile
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,23 +48,23 @@
     cached: int = 0
 
 
-# What an attempt says, in order: Began once, any number of Piece, one Over; or Over alone.
+# Events of an attempt, in order: AnswerStarted, any number of AnswerPart, AttemptResult; or AttemptResult alone.
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """The answer has begun."""
+    """The answer has started."""
 
 
 class AnswerPart:
-    """A part of the answer, in the form that its engines' side and its front agree on; opaque to the node."""
+    """A part of the answer, in a form that the engine client and the frontend agree on; opaque to the node."""
 
     __slots__ = ()
 
 
 @dataclass(slots=True)
 class Choices(AnswerPart):
-    """A part of a chat: the choices as the engine sent them (index, delta, finish_reason, …) and the rest."""
+    """Part of a chat completion: the choices as the engine sent them (index, delta, finish_reason, …) and the rest."""
 
     choices: list[dict[str, Any]]
     usage: dict[str, Any] | None = None
@@ -73,17 +73,17 @@
 
 @dataclass(slots=True)
 class RawEvents(AnswerPart):
-    """A part of a stream that is passed on unchanged: whole events as bytes."""
+    """Complete events of a stream, passed on unchanged as bytes."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The attempt's one outcome.
+    """The final outcome of an attempt.
 
-    ``state`` is what a reader returned for the writer, opaque to the node; ``rejection`` an engine's own answer
-    that the request itself is at fault (status, error object), which is handed on as it is.
+    ``state`` is what a prefill engine returned for the decode engine, opaque to the node; ``rejection`` is an engine's
+    own answer that the request itself is at fault (status, error object), which is passed on as it is.
     """
 
     outcome: Outcome
@@ -108,14 +108,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Not taken; a retry is harmless, after so many nanoseconds (0: nothing advised)."""
+    """The request was not accepted; a retry is safe after ``retry_after`` nanoseconds (0: no advice)."""
 
     retry_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Failed before an answer began; nothing is promised.  ``late`` tells that time ran out."""
+    """Failed before an answer started, without a guarantee that nothing ran.  ``late`` says that the time ran out."""
 
     why: str = ""
     late: bool = False
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """The answer broke off after it had begun.  ``late`` tells that time ran out."""
+    """The answer broke off after it had started.  ``late`` says that the time ran out."""
 
     why: str = ""
     late: bool = False
@@ -145,50 +145,50 @@
 
 
 class Sink(Protocol):
-    """Where an answer goes.  Nothing here blocks; what the client does not take yet is kept as ``pending``."""
+    """The client's side of an answer.  Methods never block; bytes that the client does not take yet are buffered."""
 
     def fileno(self) -> int:
-        """The client's descriptor, watched for leaving and for room."""
+        """The client's descriptor, polled for disconnection and for room to write."""
 
     def begin(self) -> None:
-        """The answer begins.  Raises ClientDisconnected."""
+        """Start the answer.  Raises ClientDisconnected."""
 
     def send_part(self, part: AnswerPart) -> None:
-        """A part of it.  Raises ClientDisconnected."""
+        """Send a part of the answer.  Raises ClientDisconnected."""
 
     def finish(self, final: Final) -> None:
-        """The one final answer.  Raises ClientDisconnected."""
+        """Send the one final answer.  Raises ClientDisconnected."""
 
     def cork(self, on: bool) -> None:
-        """While on, what is given is kept as pending; the caller flushes after."""
+        """While on, output is only buffered; the caller flushes afterwards."""
 
     def flush(self) -> int:
-        """Write what the socket takes; bytes still pending.  Raises ClientDisconnected."""
+        """Write what the socket takes and return the bytes still pending.  Raises ClientDisconnected."""
 
     @property
     def pending(self) -> int:
-        """Bytes not yet taken by the socket."""
+        """Bytes buffered and not yet taken by the socket."""
 
 
 class Attempt(Protocol):
-    """One attempt at an engine, on a socket of its own or from a pool."""
+    """One attempt at an engine, on a new or a pooled connection."""
 
     def fileno(self) -> int:
-        """Its descriptor, or -1 where it is over."""
+        """The descriptor of its connection, or -1 once the attempt is over."""
 
     @property
     def has_unsent_data(self) -> bool:
-        """Whether part of the request waits for room in the socket."""
+        """Whether part of the request is still to be written."""
 
     def process_io(self) -> list[AttemptEvent]:
-        """Take what the socket gives and write what it takes, without blocking."""
+        """Read and write what the socket allows without blocking; the events that follow."""
 
     def abort(self) -> None:
-        """Take it back: close, and wait a bounded time for the engine to have seen it."""
+        """Abort: close, and wait a bounded time for the engine to notice."""
 
 
 class Engines(Protocol):
-    """The engines' side."""
+    """The engine client."""
 
     def start(
         self,
@@ -199,14 +199,17 @@
         reserved: bool,
         may_send: Callable[[str], bool],
     ) -> Attempt | AttemptResult:
-        """Connect and begin sending; Over where it ended at once.  May block for the connect time-out.
+        """Connect and begin to send; an AttemptResult where the attempt ended at once.
 
-        ``may_send`` is asked again right before the first byte is written.
+        May block for the connect timeout.  ``may_send`` is called again right before the first byte is written.
         """
 
     def reserve(self, request_id: str, server: str, attempt_number: int, callback: Callable[[bool], None]) -> None:
-        """Ask a writer for a place, in the background, during attempt ``number``; ``answer`` gets whether it holds
-        one.  A place that comes after the request went on is let go of by the engines' side itself."""
+        """Request a reservation at a decode engine in the background, during attempt ``attempt_number``.
+
+        ``callback`` receives whether the engine holds one.  A reservation that is confirmed after the request moved on
+        is released by the engine client itself.
+        """
 
     def release(
         self,
@@ -217,11 +220,12 @@
         attempt_number: int,
         state_remains: bool,
     ) -> None:
-        """Let go of a state and a place, in the background, with repeats within the time allowed.
+        """Release held state and a reservation in the background, with retries within the time allowed.
 
-        What attempts after ``number`` brought about stays.  An engine that holds no states is not called.  With
-        ``rest`` a state stays held for the request elsewhere: where engines let go of all or nothing, nothing is.
+        What attempts after ``attempt_number`` created stays.  An engine that holds no state is not called.  With
+        ``state_remains`` other state stays held for the request: where engines release all or nothing, nothing is
+        released.
         """
 
     def probe(self, server: str) -> None:
-        """Ask for a load report, in the background; it comes to the node as an event."""
+        """Request a load report in the background; it reaches the node as an event."""
--- a/stonetrack/node/records.py
+++ b/stonetrack/node/records.py
@@ -1,7 +1,8 @@
-"""The records of requests: each one's steps, its invariants, and one log line for those that ended oddly.
+"""Records of requests: the steps of each, its invariants, and a log line for those that ended abnormally.
 
-One :class:`Records` a node; its methods may be called from any thread.  A record stays after its request's end for as
-long as something may be held for it, so that a release that is heard late is noted where it belongs; all is bounded.
+A node has one :class:`Records`; its methods may be called from any thread.  A record stays after the end of its request
+for as long as something may be held for the request, so that a release that is confirmed late is still noted in it.
+Records, steps and log lines are bounded.
 """
 
 from __future__ import annotations
@@ -15,38 +16,41 @@
 from stonetrack.node.invariants import Invariant, Ledger, Refusal, Violation
 from stonetrack.node.transitions import Step, Transition
 
-MAX_RECORDS = 4_096  # past that the oldest are forgotten first
-MAX_STEPS = 48  # of one request in its log line, the first and the last
+MAX_RECORDS = 4_096  # beyond this the oldest are dropped
+MAX_STEPS = 48  # steps of one request in its log line: the first and the last half
 SECOND = 1_000_000_000
-MAX_LINES_PER_SECOND = 20  # log lines of requests; those beyond are counted
+MAX_LINES_PER_SECOND = 20  # log lines of requests; further ones are only counted
 
 
 @dataclass(slots=True)
 class Record:
-    """One request: what it is, what happened to it, what is known of it."""
+    """One request: what it is, its steps, and its ledger.  ``arrived`` in nanoseconds."""
 
     request: str
     kind: str
     arrived: int
     ledger: Ledger
     steps: list[Transition] = field(default_factory=list)
-    closed: bool = False  # its thread has left it
+    closed: bool = False  # its thread has finished
     violations: list[Violation] = field(default_factory=list)
     logged: bool = False
 
     def text(self) -> str:
-        """The log line."""
+        """The request's log line."""
         steps = self.steps
         if len(steps) > MAX_STEPS:
             steps = steps[: MAX_STEPS // 2] + steps[-MAX_STEPS // 2 :]
-        told = "; ".join(step.text(self.arrived) for step in steps)
-        broken = "".join(f"; INVARIANT {v.invariant.value} {v.invariant.name}: {v.text}" for v in self.violations)
-        return f"request {self.request} {self.kind} at {self.arrived / SECOND:.3f}: {told}{broken}"
+        step_texts = "; ".join(step.text(self.arrived) for step in steps)
+        violations = "".join(f"; INVARIANT {v.invariant.value} {v.invariant.name}: {v.text}" for v in self.violations)
+        return f"request {self.request} {self.kind} at {self.arrived / SECOND:.3f}: {step_texts}{violations}"
 
     @property
     def abnormal(self) -> bool:
-        """Whether it did not simply go well: an attempt ended without an answer of its engine, it was failed or
-        broken, or a release was not heard."""
+        """Whether the request did not go smoothly.
+
+        An attempt ended without an answer of its engine, the request failed or its answer broke off, or a release was
+        not confirmed.
+        """
         return any(
             step.outcome in (Outcome.RESET, Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.ERROR)
             or step.step is Step.RELEASE_UNHEARD
@@ -56,7 +60,7 @@
 
 
 class Records:
-    """See the module.  ``clock`` is the node's, in nanoseconds."""
+    """All records of a node.  ``clock`` is the node's and ``release_within`` a time, both in nanoseconds."""
 
     def __init__(
         self, clock: Callable[[], int], release_within: int, log: Callable[[str], None], log_all: bool = False
@@ -76,7 +80,7 @@
         return len(self._records)
 
     def open(self, request: str, kind: str, effect: Effect, deadline: int) -> Record:
-        """A request has arrived; ``deadline`` is when its client stops waiting."""
+        """Open the record of a request that has arrived; ``deadline`` is when its client stops waiting."""
         now = self._clock()
         record = Record(request, kind, now, Ledger(request, effect, deadline, self._release_within))
         with self._lock:
@@ -100,7 +104,7 @@
         decided_at: int = 0,
         closed_for: int = 0,
     ) -> None:
-        """One step of a request; passed over where it is no longer known."""
+        """Note one step of a request; ignored where its record is gone.  See :class:`.transitions.Transition`."""
         with self._lock:
             self.steps[step] += 1
             if outcome is not None and step is Step.ENDED:
@@ -110,7 +114,7 @@
             record = self._records.get(request)
             if record is None:
                 return
-            taken = Transition(
+            transition = Transition(
                 self._clock(),
                 step,
                 engine,
@@ -123,16 +127,16 @@
                 decided_at,
                 closed_for,
             )
-            record.steps.append(taken)
-            self._count(record, record.ledger.note(taken))
-            done = record.closed and record.ledger.settled
-            if done:
+            record.steps.append(transition)
+            self._add_violations(record, record.ledger.note(transition))
+            finished = record.closed and record.ledger.settled
+            if finished:
                 del self._records[request]
-        if done:
-            self._tell(record)
+        if finished:
+            self._log_record(record)
 
     def may_begin(self, request: str, client_left: bool, engine_closed: bool) -> Refusal | None:
-        """See :meth:`.invariants.Ledger.may_begin`; a refusal is counted."""
+        """As :meth:`.invariants.Ledger.may_begin`; refusals are counted."""
         with self._lock:
             record = self._records.get(request)
             if record is None:
@@ -143,43 +147,43 @@
             return refusal
 
     def needs_state(self, request: str) -> bool:
-        """See :meth:`.invariants.Ledger.needs_state`."""
+        """As :meth:`.invariants.Ledger.needs_state`; false once the request's thread has finished."""
         with self._lock:
             record = self._records.get(request)
             return record is not None and not record.closed and record.ledger.needs_state(self._clock())
 
     def close(self, request: str) -> None:
-        """The request's thread has left it."""
+        """Close the record: the request's thread has finished."""
         with self._lock:
             record = self._records.get(request)
             if record is None:
                 return
             record.closed = True
-            done = record.ledger.settled
-            if done:
+            finished = record.ledger.settled
+            if finished:
                 del self._records[request]
-        if done:
-            self._tell(record)
+        if finished:
+            self._log_record(record)
 
     def check(self) -> None:
-        """What time alone has broken; to be called about once a second."""
+        """Check the invariants that time alone can violate; to be called about once a second."""
         now = self._clock()
-        told = []
+        violating = []
         with self._lock:
             for record in self._records.values():
                 if found := record.ledger.check(now):
-                    self._count(record, found)
-                    told.append(record)
-        for record in told:
-            self._tell(record)
+                    self._add_violations(record, found)
+                    violating.append(record)
+        for record in violating:
+            self._log_record(record)
 
-    def _count(self, record: Record, found: list[Violation]) -> None:
-        for violation in found:
+    def _add_violations(self, record: Record, violations: list[Violation]) -> None:
+        for violation in violations:
             self.violations[violation.invariant] += 1
             record.violations.append(violation)
 
-    def _tell(self, record: Record) -> None:
-        """Log a request whose end is worth a line, so many a second; one that broke an invariant always."""
+    def _log_record(self, record: Record) -> None:
+        """Log an abnormal request, within the rate limit; one that violated an invariant always."""
         if not record.violations:
             if not (self._log_all or record.abnormal):
                 return
--- a/stonetrack/node/request_lifecycle.py
+++ b/stonetrack/node/request_lifecycle.py
@@ -1,32 +1,33 @@
-"""One request's life without I/O: commands and attempt events in, effects out.
+"""The lifecycle of one request without I/O: router actions and attempt events in, side effects out.
 
-The router decides; this machine keeps what only the node knows of a request: the attempt out, what the reader
-returned, the place asked for, whether an answer began and whether the final one was given.  Its states::
+The router decides; this state machine keeps what only the node knows of a request: the attempt in flight, what the
+prefill engine returned, the reservation, whether an answer has started and whether the final answer was given.  Its
+states::
 
-    WAITING ──Send──> OUT ──Began──> STREAMING ──Over──> DONE
-       ^               │ Over (finished: DONE)
-       └───────────────┘
-    any ──client gone──> the same, but nothing more goes to the client
+    WAITING ──Send──> IN_FLIGHT ──AnswerStarted──> STREAMING ──AttemptResult──> DONE
+       ^                  │ AttemptResult (finished: DONE)
+       └──────────────────┘
+    any ──client gone──> the same, but nothing more is sent to the client
     WAITING ──Refuse or Fail──> DONE
 
-Edges that need a reason:
+Transitions that need a reason:
 
-- A ``Cancel`` for an attempt that has begun is passed over: it belongs to the client now.  The router may have
-  decided it before it heard of the first token; both orders end the same.
-- A ``Send`` while an attempt is out is an error in the program, never carried out: two attempts never overlap.
-- When the client has gone, an attempt that streams is aborted at once (a stream nobody reads ends).  One that has
-  not begun is only aborted on ``Cancel``: whether that is allowed is the router's knowledge.
+- A ``Cancel`` for an attempt whose answer has started is ignored: the answer belongs to the client by then.  The router
+  may have decided it before it received the first token; both orders end the same.
+- A ``Send`` while an attempt is in flight is a defect and is never carried out: two attempts never overlap.
+- When the client has gone, a streaming attempt is aborted at once (nobody reads the stream).  One whose answer has not
+  started is only aborted on ``Cancel``: whether cancellation is allowed is the router's decision.
 - A ``Send`` decided in another thread just before the client left is not carried out: its outcome is ``NOT_SENT``, so
-  that the router, which counts it as out, ends the request.
-- Exactly one ``Finish`` leaves this machine, none after the client has gone; ``Tell`` of an attempt's end follows the
-  ``Finish`` that it causes, so that the router never books an answer that was not given.
-- A streamed answer that has begun has met the client's time; a whole one is due by then as a whole.
-- After ``Release`` nothing is held; with the first token what was held has gone by itself (the engines' protocol).
-- A ``Release`` while an attempt is out leaves alone the state that the attempt waits for, if it has arrived: the next
-  ``Release``, after that attempt's end, lets go of it.
-- A place is good for one send to its writer.  When the request is sent elsewhere, or that send comes to nothing, it is
-  let go of here: the router, which counts places only, takes it as gone from the send on.
-- A read that ended uncertainly may have left a state that nobody was told of; it is let go of by its attempt's number.
+  that the router, which counts the attempt as in flight, ends the request.
+- Exactly one ``FinishAnswer`` is returned, and none after the client has gone.  The ``NotifyRouter`` with an attempt's
+  end follows the ``FinishAnswer`` that it causes, so that the router never records an answer that was not given.
+- A streamed answer that has started is within the client's deadline; a buffered one has to be complete by then.
+- After ``Release`` nothing is held; the first token frees held state by itself (the engines' protocol).
+- A ``Release`` while an attempt is in flight does not take the state that this attempt waits for, if the attempt has
+  arrived: the next ``Release``, after the attempt's end, releases it.
+- A reservation is good for one send to its decode engine.  When the request is sent elsewhere, or that send fails, it
+  is released here: the router only counts reservations and takes this one as used from the send on.
+- A prefill that ended uncertainly may have left state that nobody was told of; it is released by its attempt's number.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt; ``limit`` in nanoseconds, 0 for none."""
+    """Start an attempt; ``time_limit`` in nanoseconds, 0 for none."""
 
     server: str
     attempt_number: int
@@ -52,26 +53,26 @@
 
 @dataclass(frozen=True, slots=True)
 class AbortAttempt:
-    """Take the attempt out back."""
+    """Abort the attempt in flight."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotifyRouter:
-    """Hand an event to the router."""
+    """Pass an event to the router."""
 
     event: api.Event
 
 
 @dataclass(frozen=True, slots=True)
 class StartAnswer:
-    """Begin the answer to the client."""
+    """Start the answer to the client."""
 
 
 @dataclass(slots=True)
 class DeliverPart:
-    """Hand a piece to the client."""
+    """Send a part of the answer to the client."""
 
-    piece: ports.AnswerPart
+    part: ports.AnswerPart
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,17 +84,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Reserve:
-    """Ask a writer for a place."""
+    """Request a reservation at a decode engine."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseHeld:
-    """Release a state at a reader and a place at a writer (empty where there is none).
+    """Release state at a prefill engine and a reservation at a decode engine (empty names where there is none).
 
-    ``number`` is the last attempt that it is for: what a later attempt brings about stays.  ``rest`` tells that a
-    state at a reader stays held for the request.
+    ``attempt_number`` is the last attempt covered: what a later attempt creates stays.  ``state_remains`` says that
+    state at a prefill engine stays held for the request.
     """
 
     prefill_server: str
@@ -112,20 +113,20 @@
 
 
 class Stage(Enum):
-    """Where a request stands."""
+    """State of a request."""
 
-    WAITING = "waiting"  # no attempt out; the router holds it
-    IN_FLIGHT = "out"  # an attempt out, no answer yet
-    STREAMING = "streaming"  # the client's answer runs
-    DONE = "done"  # final answer given or client gone, no attempt out
+    WAITING = "waiting"  # no attempt in flight; the router has to act
+    IN_FLIGHT = "out"  # an attempt is in flight, no answer yet
+    STREAMING = "streaming"  # the answer is being sent to the client
+    DONE = "done"  # final answer given or client gone, no attempt in flight
 
 
 class LifecycleError(RuntimeError):
-    """The router and this machine disagree; a defect, never a user's fault."""
+    """The router and this state machine disagree; a defect, never the client's fault."""
 
 
 class RequestLifecycle:
-    """One request.  Every method returns effects to be carried out in order."""
+    """State machine of one request.  Its methods return side effects to be carried out in order."""
 
     __slots__ = (
         "last_why",
@@ -148,39 +149,37 @@
 
     def __init__(self, request: ports.InferenceRequest, silence: int, now: int = 0) -> None:
         self.request = request
-        self.answer_deadline = (
-            now + request.time_left if request.buffered else 0
-        )  # when a whole answer is due; 0 for a streamed one
+        self.answer_deadline = now + request.time_left if request.buffered else 0  # 0 for a streamed answer
         self.stage = Stage.WAITING
-        self.client_gone = False  # the client
+        self.client_gone = False
         self.answered = False  # a final answer was given
         self.attempt_number = -1  # of the last attempt
-        self.server = ""  # of the attempt out
+        self.server = ""  # of the attempt in flight
         self.sent_at = 0
-        self.attempt_deadline = 0  # when the attempt out has run out of time; 0 for never
-        self.silence_limit = silence  # longest pause within a stream
-        self.silence_deadline = 0  # when a stream is silent for too long
+        self.attempt_deadline = 0  # of the attempt in flight; 0 for none
+        self.silence_limit = silence  # longest pause within a stream, nanoseconds
+        self.silence_deadline = 0  # when a silent stream times out
         self.prefill_server = ""
         self.state: Any = None
         self.reserved_server = ""
-        self.timed_out = False  # the last attempt ran out of time: a failure is then a late one
+        self.timed_out = False  # whether the last attempt timed out: a failure is then reported as late
         self.last_why = ""
 
     @property
     def finished(self) -> bool:
-        """Whether nothing more can happen."""
+        """Whether the request is over and no attempt is in flight."""
         return self.stage is Stage.DONE
 
     def next_deadline(self) -> int:
-        """When :meth:`check_deadlines` must be called next; 0 for never."""
+        """When :meth:`check_deadlines` must be called next, in nanoseconds; 0 for never."""
         if self.stage is Stage.STREAMING:
             return min(self.silence_deadline, self.answer_deadline) if self.answer_deadline else self.silence_deadline
         return self.attempt_deadline if self.stage is Stage.IN_FLIGHT else 0
 
-    # What the router decided.
+    # Actions of the router.
 
     def handle_action(self, action: api.Action, now: int) -> list[SideEffect]:
-        """Carry out one action."""
+        """Carry out one action.  Raises LifecycleError for one that contradicts the request's state."""
         match action:
             case api.Send(_, server, limit):
                 if self.client_gone and self.stage is Stage.DONE:
@@ -191,42 +190,44 @@
                     return [NotifyRouter(ended)]
                 if self.stage is not Stage.WAITING or self.answered:
                     raise LifecycleError(
-                        f"request {self.request.request_id}: a send to {server} while {self.stage.value}"
+                        f"request {self.request.request_id}: a send to {server} in state {self.stage.value}"
                     )
                 self.stage, self.server, self.sent_at = Stage.IN_FLIGHT, server, now
                 self.attempt_number += 1
                 self.attempt_deadline = now + limit if limit else 0
-                # The state goes along to any server but the reader that returned it.
+                # The state is passed to any server but the prefill engine that returned it.
                 state = self.state if server != self.prefill_server else None
-                elsewhere = self._let_go_place() if self.reserved_server and self.reserved_server != server else []
+                superseded = (
+                    self._release_reservation() if self.reserved_server and self.reserved_server != server else []
+                )
                 return [
-                    *elsewhere,
+                    *superseded,
                     StartAttempt(
                         server, self.attempt_number, state, reserved=self.reserved_server == server, time_limit=limit
                     ),
                 ]
             case api.HoldPlace(_, server):
                 if self.stage is not Stage.IN_FLIGHT:
-                    return []  # its read was not sent after all: a place would be held for nobody
+                    return []  # the prefill was not sent after all: nobody would use the reservation
                 self.reserved_server = server
                 return [Reserve(server)]
             case api.Release():
-                return self._let_go(keep=self.stage is Stage.IN_FLIGHT)
+                return self._release_held(keep_state=self.stage is Stage.IN_FLIGHT)
             case api.Refuse(_, after):
-                return self._final(ports.Refused(after))
+                return self._finish_request(ports.Refused(after))
             case api.Fail():
-                return self._final(ports.Failed(self.last_why, self.timed_out))
-            case api.Cancel(_, number):
-                if self.stage is Stage.IN_FLIGHT and number == self.attempt_number:
+                return self._finish_request(ports.Failed(self.last_why, self.timed_out))
+            case api.Cancel(_, attempt_number):
+                if self.stage is Stage.IN_FLIGHT and attempt_number == self.attempt_number:
                     return [
                         AbortAttempt(),
-                        *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "called off"), now),
+                        *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "cancelled"), now),
                     ]
                 return []
             case _:
                 return []
 
-    def _final(self, final: ports.Final) -> list[SideEffect]:
+    def _finish_request(self, final: ports.Final) -> list[SideEffect]:
         if self.answered:
             raise LifecycleError(f"request {self.request.request_id}: a second final answer")
         self.answered = True
@@ -234,25 +235,28 @@
             self.stage = Stage.DONE
         return [] if self.client_gone else [FinishAnswer(final)]
 
-    def _let_go(self, keep: bool = False) -> list[SideEffect]:
-        """Release what is held; with ``keep`` an attempt is out that may wait for the state: it is named once more when
-        that has ended without a beginning."""
+    def _release_held(self, keep_state: bool = False) -> list[SideEffect]:
+        """Release what is held.
+
+        With ``keep_state`` an attempt is in flight that may wait for the state: the state is named again in a later
+        release, once that attempt has ended without starting an answer.
+        """
         if not self.prefill_server and not self.reserved_server:
             return []
         effect = ReleaseHeld(self.prefill_server, self.state, self.reserved_server, self.attempt_number)
         self.reserved_server = ""
-        if not keep:
+        if not keep_state:
             self.prefill_server, self.state = "", None
         return [effect]
 
-    def _let_go_place(self) -> list[SideEffect]:
-        place, self.reserved_server = self.reserved_server, ""
-        return [ReleaseHeld("", None, place, self.attempt_number, state_remains=bool(self.prefill_server))]
+    def _release_reservation(self) -> list[SideEffect]:
+        server, self.reserved_server = self.reserved_server, ""
+        return [ReleaseHeld("", None, server, self.attempt_number, state_remains=bool(self.prefill_server))]
 
-    # What happened.
+    # Events.
 
     def handle_attempt_event(self, event: ports.AttemptEvent, now: int) -> list[SideEffect]:
-        """Take one event of the attempt out; those that come when none is out are dropped (late bytes)."""
+        """Handle an event of the attempt in flight; without one in flight the event is dropped (late bytes)."""
         if self.stage not in (Stage.IN_FLIGHT, Stage.STREAMING):
             return []
         if isinstance(event, ports.AnswerPart):
@@ -262,17 +266,19 @@
             self.stage, self.silence_deadline = Stage.STREAMING, now + self.silence_limit
             self.prefill_server, self.state, self.reserved_server = "", None, ""
             elapsed = now - self.sent_at
-            told = NotifyRouter(api.FirstToken(self.request.request_id, self.attempt_number, self.server, elapsed))
+            notify = NotifyRouter(api.FirstToken(self.request.request_id, self.attempt_number, self.server, elapsed))
             if self.client_gone:
                 return [
-                    told,
+                    notify,
                     AbortAttempt(),
-                    *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "the client left"), now),
+                    *self.handle_attempt_event(
+                        ports.AttemptResult(api.Outcome.CANCELLED, "the client disconnected"), now
+                    ),
                 ]
-            return [told, StartAnswer()]
-        return self._over(event, now)
+            return [notify, StartAnswer()]
+        return self._finish_attempt(event, now)
 
-    def _over(self, result: ports.AttemptResult, now: int) -> list[SideEffect]:
+    def _finish_attempt(self, result: ports.AttemptResult, now: int) -> list[SideEffect]:
         streamed = self.stage is Stage.STREAMING
         effects: list[SideEffect] = []
         outcome = result.outcome
@@ -280,21 +286,21 @@
         self.last_why = result.why or outcome.value
         finished = streamed or self.client_gone or self.answered
         if result.rejection is not None and not finished:
-            # The request itself is at fault: the engine's answer is the final one, nothing is tried again.
-            effects += self._final(ports.Rejected(*result.rejection))
+            # The request itself is at fault: the engine's answer is final and nothing is retried.
+            effects += self._finish_request(ports.Rejected(*result.rejection))
             finished = True
         elif streamed and not self.answered:
             final = ports.Served() if outcome is api.Outcome.SERVED else ports.Broken(self.last_why, self.timed_out)
-            effects += self._final(final)
+            effects += self._finish_request(final)
         elif outcome is api.Outcome.SERVED and not finished:
-            raise LifecycleError(f"request {self.request.request_id}: served without a beginning")
+            raise LifecycleError(f"request {self.request.request_id}: served without the start of an answer")
         if outcome is api.Outcome.READ:
             self.prefill_server, self.state = self.server, result.state
         elif self.reserved_server == self.server:
-            # The place was for this attempt, which did not come to use it, or nobody knows.
-            effects += self._let_go_place()
+            # The reservation was for this attempt, which did not use it, or it is unknown whether it did.
+            effects += self._release_reservation()
         if outcome in _UNCERTAIN and not streamed and self.server != self.prefill_server:
-            # It may have been read and the answer lost: a state would wait there that nobody knows of.
+            # The prefill may have run and its answer been lost: state would remain there that nobody knows of.
             effects.append(
                 ReleaseHeld(self.server, None, "", self.attempt_number, state_remains=bool(self.prefill_server))
             )
@@ -318,9 +324,9 @@
         return effects
 
     def accept_part(self, now: int) -> bool:
-        """Whether a piece that came just now goes straight to the client; notes that the stream is alive.
+        """Whether a part received now goes straight to the client; notes that the stream is alive.
 
-        The usual case of :meth:`handle_attempt_event`, without its effects: it is asked for every token.
+        The usual case of :meth:`handle_attempt_event` without a list of side effects, since it runs for every token.
         """
         if self.stage is not Stage.STREAMING or self.client_gone:
             return False
@@ -328,17 +334,17 @@
         return True
 
     def check_deadlines(self, now: int) -> list[SideEffect]:
-        """Time has passed: end an attempt that has had its time, or a stream that fell silent.
+        """End an attempt that has timed out, or a stream that has been silent for too long.
 
         Owed: ``Obligation.ANSWER``, ``Obligation.ATTEMPT``."""
         if not self.next_deadline() or now < self.next_deadline():
             return []
         silent = self.stage is Stage.STREAMING and now >= self.silence_deadline
-        why = "the engine fell silent within its answer" if silent else "out of time"
+        why = "the engine stopped sending in the middle of its answer" if silent else "timed out"
         return [AbortAttempt(), *self.handle_attempt_event(ports.AttemptResult(api.Outcome.TIMED_OUT, why), now)]
 
     def handle_client_gone(self, now: int) -> list[SideEffect]:
-        """The client has left; nothing more is owed."""
+        """Handle that the client has disconnected; no answer is owed any more."""
         if self.client_gone or self.answered:
             self.client_gone = True
             return []
@@ -347,7 +353,7 @@
         if self.stage is Stage.STREAMING:
             effects += [
                 AbortAttempt(),
-                *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "the client left"), now),
+                *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "the client disconnected"), now),
             ]
         elif self.stage is Stage.WAITING:
             self.stage = Stage.DONE
--- a/stonetrack/node/request_runner.py
+++ b/stonetrack/node/request_runner.py
@@ -1,9 +1,9 @@
-"""The thread that runs one request: waits on its sockets, feeds :mod:`.request_lifecycle`, carries out what that says.
+"""The thread that runs one request: waits on its sockets, feeds :mod:`.request_lifecycle`, carries out side effects.
 
-A thread waits in one ``poll`` on three descriptors: the client's (leaving, room to write), the attempt's, and its own
-wake-up, written by whoever puts a command into its mailbox.  Where descriptors are short a waker has none, and its
-thread looks into the mailbox by itself until the answer has begun (from then on nothing is put there that it waits
-for).  Sockets are blocking ones, read and written only when ``poll`` says so, and never touched by another thread.
+A thread waits in one ``poll`` on three descriptors: the client's (disconnection, room to write), the attempt's, and its
+own waker, written by whoever puts an action into its mailbox.  Where descriptors run out a waker has none; its thread
+then polls the mailbox until the answer has started (from then on it does not wait for any action).  Sockets are
+blocking, used only when ``poll`` reports them ready, and never touched by another thread.
 """
 
 from __future__ import annotations
@@ -46,13 +46,13 @@
 )
 from stonetrack.node.transitions import Step
 
-_LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
+_DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 MS = 1_000_000
-MAILBOX_POLL = 40 * MS  # a thread without a waker looks into its mailbox so often
+MAILBOX_POLL = 40 * MS  # interval at which a thread without a waker checks its mailbox
 
 
 class Waker:
-    """A descriptor that another thread can make readable, or none; one for each worker thread."""
+    """A descriptor that other threads make readable, or none where descriptors ran out; one per worker thread."""
 
     __slots__ = ("_woken", "fd")
 
@@ -61,15 +61,15 @@
         self._woken = False
 
     def wake(self) -> None:
-        """Make it readable."""
+        """Make the descriptor readable."""
         if self.fd < 0:
             return
         self._woken = True
-        with contextlib.suppress(BlockingIOError):  # it is readable already
+        with contextlib.suppress(BlockingIOError):  # the counter is full: it is readable already
             os.eventfd_write(self.fd, 1)
 
     def clear(self) -> None:
-        """Make it unreadable."""
+        """Make the descriptor unreadable."""
         if not self._woken:
             return
         self._woken = False
@@ -77,14 +77,14 @@
             os.eventfd_read(self.fd)
 
     def close(self) -> None:
-        """Give the descriptor back."""
+        """Close the descriptor."""
         if self.fd >= 0:
             os.close(self.fd)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Time and size bounds of one request, in nanoseconds and bytes."""
+    """Limits of one request: times in nanoseconds, ``send_buffer`` in bytes."""
 
     stream_silence: int
     client_stall: int
@@ -105,16 +105,16 @@
         records: Records | None = None,
     ) -> None:
         self.core, self.engines, self.bounds, self.sink, self.waker = core, engines, bounds, sink, waker
-        self.records = records  # told of each step, and asked before each attempt
+        self.records = records  # notes each step, and may refuse each attempt
         self.lifecycle = RequestLifecycle(request, bounds.stream_silence, core.clock())
         self.mailbox: Mailbox | None = None
         self.attempt: Attempt | None = None
-        self.early_results: deque[AttemptResult] = deque()  # outcomes of attempts that ended at once
+        self.early_results: deque[AttemptResult] = deque()  # of attempts that ended while they were started
         self.actions: deque[Action] = deque()
         self.last_progress_at = 0  # when the client last took a byte
 
     def run(self) -> RequestLifecycle:
-        """From arrival to the last outcome; the finished life, for the record."""
+        """Run from arrival to the last outcome; the finished lifecycle, for the request's record."""
         core, lifecycle = self.core, self.lifecycle
         self.waker.clear()
         mailbox = self.mailbox = core.accept_request(lifecycle.request, self.waker.wake)
@@ -122,7 +122,7 @@
         self.last_progress_at = core.clock()
         try:
             while True:
-                self._commands()
+                self._run_actions()
                 if lifecycle.finished and not self.actions and (lifecycle.client_gone or not self.sink.pending):
                     return lifecycle
                 self._wait()
@@ -135,26 +135,26 @@
             core.finish_request(mailbox)
 
     def _abandon(self) -> None:
-        """A defect ends the run: nothing of the request stays at an engine, nor in the router's books."""
+        """After a defect: leave nothing of the request at an engine or in the router."""
         with contextlib.suppress(Exception):
             now = self.core.clock()
-            self._do(self.lifecycle.handle_client_gone(now))
+            self._apply(self.lifecycle.handle_client_gone(now))
             if self.lifecycle.stage is Stage.IN_FLIGHT:
-                self._take_back(Outcome.CANCELLED, "this node could not go on with the request", now)
-            self._commands()
+                self._abort_attempt(Outcome.CANCELLED, "internal error of this node", now)
+            self._run_actions()
 
-    def _take_back(self, outcome: Outcome, why: str, now: int) -> None:
-        self._do([AbortAttempt(), *self.lifecycle.handle_attempt_event(AttemptResult(outcome, why), now)])
+    def _abort_attempt(self, outcome: Outcome, why: str, now: int) -> None:
+        self._apply([AbortAttempt(), *self.lifecycle.handle_attempt_event(AttemptResult(outcome, why), now)])
 
-    def _commands(self) -> None:
+    def _run_actions(self) -> None:
         while self.actions or self.early_results:
             now = self.core.clock()
             if self.early_results:
-                self._do(self.lifecycle.handle_attempt_event(self.early_results.popleft(), now))
+                self._apply(self.lifecycle.handle_attempt_event(self.early_results.popleft(), now))
             else:
-                self._do(self.lifecycle.handle_action(self.actions.popleft(), now))
+                self._apply(self.lifecycle.handle_action(self.actions.popleft(), now))
 
-    # One wait.
+    # Waiting.
 
     def _wait(self) -> None:
         lifecycle, attempt, sink = self.lifecycle, self.attempt, self.sink
@@ -165,25 +165,25 @@
         if client >= 0:
             poller.register(client, select.POLLRDHUP | (select.POLLOUT if sink.pending else 0))
         engine = attempt.fileno() if attempt is not None else -1
-        full = not lifecycle.client_gone and sink.pending > self.bounds.send_buffer
+        buffer_full = not lifecycle.client_gone and sink.pending > self.bounds.send_buffer
         if engine >= 0 and attempt is not None:
-            mask = (0 if full else select.POLLIN) | (select.POLLOUT if attempt.has_unsent_data else 0)
+            mask = (0 if buffer_full else select.POLLIN) | (select.POLLOUT if attempt.has_unsent_data else 0)
             poller.register(engine, mask) if mask else None
-        # The descriptors stay the same through a stream; stay in here while nothing else changes.
+        # The descriptors stay the same during a stream, so the poller is reused while nothing else changes.
         while True:
             now = self.core.clock()
-            ready = sockets.poll(poller, self._timeout(now))
+            ready = sockets.poll(poller, self._poll_timeout(now))
             now = self.core.clock()
             woken = self.waker.fd < 0 and bool(self.actions)
             for fd, mask in ready:
                 if fd == client:
-                    self._client(mask, now)
+                    self._handle_client_event(mask, now)
                 elif fd == engine:
-                    self._engine(now)
+                    self._handle_engine_event(now)
                 else:
                     self.waker.clear()
                     woken = True
-            self._times(now)
+            self._check_deadlines(now)
             if (
                 woken
                 or self.attempt is not attempt
@@ -197,93 +197,93 @@
             ):
                 return
 
-    def _timeout(self, now: int) -> float | None:
-        """Milliseconds until something is due."""
-        dues = [self.lifecycle.next_deadline()] if not self._blocked() else []
+    def _poll_timeout(self, now: int) -> float | None:
+        """Milliseconds until the next deadline; None for no deadline."""
+        deadlines = [self.lifecycle.next_deadline()] if not self._client_blocked() else []
         if self.sink.pending and not self.lifecycle.client_gone:
-            dues.append(self.last_progress_at + self.bounds.client_stall)
-        dues = [due for due in dues if due]
+            deadlines.append(self.last_progress_at + self.bounds.client_stall)
+        deadlines = [deadline for deadline in deadlines if deadline]
         if self.waker.fd < 0 and self.lifecycle.stage is not Stage.STREAMING:
-            dues.append(now + MAILBOX_POLL)
-        return max(0.0, (min(dues) - now) / MS + 1.0) if dues else None
+            deadlines.append(now + MAILBOX_POLL)
+        return max(0.0, (min(deadlines) - now) / MS + 1.0) if deadlines else None
 
-    def _blocked(self) -> bool:
-        """Whether the engine is not read because the client takes nothing: silence is then the client's."""
+    def _client_blocked(self) -> bool:
+        """Whether the engine is not read because the client takes nothing: the stream is then silent on its account."""
         return self.lifecycle.stage is Stage.STREAMING and self.sink.pending > self.bounds.send_buffer
 
-    def _client(self, mask: int, now: int) -> None:
-        if mask & _LEFT:
-            self._lost(now)
+    def _handle_client_event(self, mask: int, now: int) -> None:
+        if mask & _DISCONNECTED:
+            self._handle_disconnect(now)
         elif mask & select.POLLOUT:
             self._flush(now)
 
-    def _lost(self, now: int) -> None:
-        self._do(self.lifecycle.handle_client_gone(now))
+    def _handle_disconnect(self, now: int) -> None:
+        self._apply(self.lifecycle.handle_client_gone(now))
         if self.attempt is not None and self.attempt.has_unsent_data:
-            # An attempt begins with its request's last byte: it would begin for nobody.
-            self._take_back(Outcome.NOT_SENT, "the client left", now)
+            # An attempt begins with its request's last byte: this one would begin without a client.
+            self._abort_attempt(Outcome.NOT_SENT, "the client disconnected", now)
 
-    def _engine(self, now: int) -> None:
+    def _handle_engine_event(self, now: int) -> None:
         attempt = self.attempt
         if attempt is None:
             return
         events = attempt.process_io()
         if len(events) == 1:
-            self._event(events[0], now)
+            self._handle_attempt_event(events[0], now)
             return
         self.sink.cork(True)
         for event in events:
-            self._event(event, now)
+            self._handle_attempt_event(event, now)
             if self.attempt is not attempt and not isinstance(event, AttemptResult):
-                break  # aborted meanwhile: what follows reaches nobody
+                break  # aborted meanwhile: the remaining events are dropped
         self.sink.cork(False)
         if self.sink.pending and not self.lifecycle.client_gone:
             self._flush(now)
 
-    def _event(self, event: AttemptEvent, now: int) -> None:
+    def _handle_attempt_event(self, event: AttemptEvent, now: int) -> None:
         if isinstance(event, AnswerPart) and self.lifecycle.accept_part(now):
-            self._give(event)
+            self._deliver(event)
             return
         if isinstance(event, AttemptResult):
             self.attempt = None
-        self._do(self.lifecycle.handle_attempt_event(event, now))
+        self._apply(self.lifecycle.handle_attempt_event(event, now))
 
     def _flush(self, now: int) -> None:
         try:
-            before = self.sink.pending
-            if self.sink.flush() < before:
+            pending_before = self.sink.pending
+            if self.sink.flush() < pending_before:
                 self.last_progress_at = now
                 if self.lifecycle.stage is Stage.STREAMING:
                     self.lifecycle.silence_deadline = max(
                         self.lifecycle.silence_deadline, now + self.bounds.stream_silence
                     )
         except ClientDisconnected:
-            self._lost(now)
+            self._handle_disconnect(now)
 
-    def _times(self, now: int) -> None:
-        if not self._blocked():
-            self._do(self.lifecycle.check_deadlines(now))
+    def _check_deadlines(self, now: int) -> None:
+        if not self._client_blocked():
+            self._apply(self.lifecycle.check_deadlines(now))
         if (
             self.sink.pending
             and not self.lifecycle.client_gone
             and now > self.last_progress_at + self.bounds.client_stall
         ):
-            self._lost(now)  # it takes nothing: gone for us, and its connection is closed
+            self._handle_disconnect(now)  # a stalled client counts as gone, and its connection is closed
 
-    # Effects.
+    # Side effects.
 
-    def _do(self, effects: list[SideEffect]) -> None:
+    def _apply(self, effects: list[SideEffect]) -> None:
         for effect in effects:
             match effect:
-                case DeliverPart(piece):
-                    self._give(piece)
+                case DeliverPart(part):
+                    self._deliver(part)
                 case NotifyRouter(event):
-                    self._note(event)
+                    self._note_event(event)
                     self.core.handle_event(event)
                 case StartAnswer():
-                    self._give(AnswerStarted())
-                case StartAttempt(server, number, state, place, _):
-                    self._start(server, number, state, place)
+                    self._deliver(AnswerStarted())
+                case StartAttempt(server, attempt_number, state, reserved, _):
+                    self._start_attempt(server, attempt_number, state, reserved)
                 case AbortAttempt():
                     if self.attempt is not None:
                         attempt, self.attempt = self.attempt, None
@@ -296,51 +296,64 @@
                     except ClientDisconnected:
                         self.lifecycle.client_gone = True
                 case Reserve(server):
-                    self._hold(server)
-                case ReleaseHeld(prefill_server, state, place, number, rest):
-                    self.engines.release(self.lifecycle.request.request_id, prefill_server, state, place, number, rest)
+                    self._reserve(server)
+                case ReleaseHeld(prefill_server, state, decode_server, attempt_number, state_remains):
+                    self.engines.release(
+                        self.lifecycle.request.request_id,
+                        prefill_server,
+                        state,
+                        decode_server,
+                        attempt_number,
+                        state_remains,
+                    )
 
-    def _give(self, what: AnswerPart | AnswerStarted) -> None:
+    def _deliver(self, event: AnswerPart | AnswerStarted) -> None:
         if self.lifecycle.client_gone:
             return
-        had = self.sink.pending
+        pending_before = self.sink.pending
         try:
-            if isinstance(what, AnswerPart):
-                self.sink.send_part(what)
+            if isinstance(event, AnswerPart):
+                self.sink.send_part(event)
             else:
                 self.sink.begin()
         except ClientDisconnected:
-            self._lost(self.core.clock())
+            self._handle_disconnect(self.core.clock())
             return
-        if not had:
+        if not pending_before:
             self.last_progress_at = self.core.clock()
 
-    def _start(self, server: str, number: int, state: Any, place: bool) -> None:
+    def _start_attempt(self, server: str, attempt_number: int, state: Any, reserved: bool) -> None:
         if self.mailbox is not None:
             self.mailbox.owner_blocked, self.mailbox.released = True, False
         try:
-            started = self.engines.start(self.lifecycle.request, server, number, state, place, self._may_send)
+            started = self.engines.start(
+                self.lifecycle.request, server, attempt_number, state, reserved, self._may_send
+            )
         finally:
             if self.mailbox is not None:
                 self.mailbox.owner_blocked = False
         if not isinstance(started, AttemptResult):
             self.attempt = started
         if self._client_left():
-            self._lost(self.core.clock())  # told first: else the router would try the next engine for nobody
+            self._handle_disconnect(
+                self.core.clock()
+            )  # first, else the router would try the next engine without a client
         if isinstance(started, AttemptResult):
             self.early_results.append(started)
 
     def _may_send(self, server: str) -> bool:
-        """Whether an attempt may still begin: asked right before its first byte, since connecting takes time in which
-        the client may leave and the list may close the engine."""
+        """Whether an attempt may still begin.
+
+        Called right before its first byte: the client may leave and the list may close the engine while connecting.
+        """
         if self.mailbox is not None and self.mailbox.released:
-            return False  # what it was to fetch has been released meanwhile
-        left, closed = self._client_left(), not self.core.may_send(server)
+            return False  # the state that it would use has been released meanwhile
+        client_left, engine_closed = self._client_left(), not self.core.may_send(server)
         if self.records is None:
-            return not left and not closed
-        return self.records.may_begin(self.lifecycle.request.request_id, left, closed) is None
+            return not client_left and not engine_closed
+        return self.records.may_begin(self.lifecycle.request.request_id, client_left, engine_closed) is None
 
-    def _note(self, event: Event) -> None:
+    def _note_event(self, event: Event) -> None:
         if self.records is None:
             return
         if isinstance(event, AttemptEnded):
@@ -365,16 +378,19 @@
             self.records.note(self.lifecycle.request.request_id, Step.ANSWERED, why=f"{name}: {why}" if why else name)
 
     def _client_left(self) -> bool:
-        """Whether the client has closed its connection or its sending side, seen or not yet seen by :meth:`_wait`."""
+        """Whether the client has closed its connection or its sending side, even if :meth:`_wait` has not seen it."""
         client = self.sink.fileno()
         if self.lifecycle.client_gone or client < 0:
             return True
         poller = select.poll()
         poller.register(client, select.POLLRDHUP)
-        return any(mask & _LEFT for _, mask in sockets.poll(poller, 0))
+        return any(mask & _DISCONNECTED for _, mask in sockets.poll(poller, 0))
 
-    def _hold(self, server: str) -> None:
-        request, number, core = self.lifecycle.request.request_id, self.lifecycle.attempt_number, self.core
+    def _reserve(self, server: str) -> None:
+        request_id, attempt_number, core = self.lifecycle.request.request_id, self.lifecycle.attempt_number, self.core
         self.engines.reserve(
-            request, server, number, lambda held: core.handle_event(PlaceAnswer(request, number, server, held))
+            request_id,
+            server,
+            attempt_number,
+            lambda held: core.handle_event(PlaceAnswer(request_id, attempt_number, server, held)),
         )
--- a/stonetrack/node/system_errors.py
+++ b/stonetrack/node/system_errors.py
@@ -1,13 +1,13 @@
-"""What an error of a system call means for the one who made the call.  No I/O.
+"""Classification of system call errors by what the caller has to do.  No I/O.
 
 The table follows the ERRORS sections of Linux's manual pages accept(2), socket(2), connect(2), setsockopt(2), send(2),
-recv(2), poll(2), close(2) and pthread_create(3).  Who calls asks :func:`meaning` and acts by it:
+recv(2), poll(2), close(2) and pthread_create(3).  A caller asks :func:`classify_error` and acts on the class:
 
-- ``LATER``: nothing is wrong; wait until the descriptor is ready, or make the call again.
-- ``MACHINE``: this machine is short of something, for a moment.  The call is tried again within a bound; no peer is
+- ``RETRY``: nothing is wrong; wait until the descriptor is ready, or repeat the call.
+- ``LOCAL``: a resource of this machine is exhausted for a moment.  The call is retried within a bound; no peer is
   blamed, and a request whose attempt could not begin may go elsewhere.
-- ``PEER``: the peer, or the way to it, has failed.
-- ``DEFECT``: the program made a call that can't work.  It is never tried again in a loop.
+- ``PEER``: the peer, or the path to it, has failed.
+- ``DEFECT``: the program made a call that can't work.  It is never retried in a loop.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class SystemCall(Enum):
-    """The system calls that the node's sockets need."""
+    """The system calls that the node's sockets use."""
 
     ACCEPT = "accept"
     SOCKET = "socket"
@@ -30,7 +30,7 @@
 
 
 class ErrorClass(Enum):
-    """See the module."""
+    """What an error requires of the caller, as listed at the head of this module."""
 
     RETRY = "not yet"
     LOCAL = "passing trouble of this machine"
@@ -38,8 +38,8 @@
     DEFECT = "a programming error"
 
 
-_LATER = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.EINPROGRESS)
-_MACHINE = (
+_RETRY = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.EINPROGRESS)
+_LOCAL = (
     errno.EMFILE,  # descriptors of this process
     errno.ENFILE,  # descriptors of this machine
     errno.ENOBUFS,
@@ -66,33 +66,33 @@
     errno.EPROTO,
     errno.ENOPROTOOPT,
 )
-_GENERAL: dict[int, ErrorClass] = {
-    **dict.fromkeys(_LATER, ErrorClass.RETRY),
-    **dict.fromkeys(_MACHINE, ErrorClass.LOCAL),
+_BY_CODE: dict[int, ErrorClass] = {
+    **dict.fromkeys(_RETRY, ErrorClass.RETRY),
+    **dict.fromkeys(_LOCAL, ErrorClass.LOCAL),
     **dict.fromkeys(_PEER, ErrorClass.PEER),
 }
-_OF_ONE_CALL: dict[tuple[SystemCall, int], ErrorClass] = {
-    # accept(2): errors that were pending on the new connection are given by the call; the next one is not concerned.
+_BY_CALL: dict[tuple[SystemCall, int], ErrorClass] = {
+    # accept(2) returns errors pending on the new connection; the next connection is not affected.
     (SystemCall.ACCEPT, errno.ENETDOWN): ErrorClass.PEER,
     (SystemCall.ACCEPT, errno.ENETUNREACH): ErrorClass.PEER,
     (SystemCall.ACCEPT, errno.EOPNOTSUPP): ErrorClass.PEER,
     (SystemCall.ACCEPT, errno.EPERM): ErrorClass.PEER,
     # connect(2): no free local port, or no entry in the routing cache.
     (SystemCall.CONNECT, errno.EAGAIN): ErrorClass.LOCAL,
-    # On a connection that stood, a lost route is the connection's end like any other.
+    # On an established connection, a lost route ends the connection like any other failure.
     (SystemCall.SEND, errno.ENETDOWN): ErrorClass.PEER,
     (SystemCall.SEND, errno.ENETUNREACH): ErrorClass.PEER,
     (SystemCall.RECEIVE, errno.ENETDOWN): ErrorClass.PEER,
     (SystemCall.RECEIVE, errno.ENETUNREACH): ErrorClass.PEER,
-    # A connection that was reset before it was looked at takes no options any more.
+    # A connection that was reset before it was handled accepts no options any more.
     (SystemCall.OPTION, errno.EINVAL): ErrorClass.PEER,
 }
 
 
 def classify_error(call: SystemCall, error: OSError) -> ErrorClass:
-    """What an error of a call means.  A time-out without a number is the peer's silence."""
+    """The class of an error of a call.  A timeout without an error number means that the peer is silent."""
     code = error.errno
     if code is None:
         return ErrorClass.PEER if isinstance(error, (TimeoutError, ConnectionError)) else ErrorClass.DEFECT
-    found = _OF_ONE_CALL.get((call, code))
-    return found or _GENERAL.get(code, ErrorClass.DEFECT)
+    by_call = _BY_CALL.get((call, code))
+    return by_call or _BY_CODE.get(code, ErrorClass.DEFECT)
--- a/stonetrack/node/threads.py
+++ b/stonetrack/node/threads.py
@@ -1,8 +1,8 @@
-"""Background threads that are not lost unseen.
+"""Background threads whose failures do not go unnoticed.
 
-A thread that ends by an error is logged and started again after a pause.  One that does so ``MOST`` times within
-``SPAN`` seconds ends the process: whoever started it (a supervisor, the platform) can start it anew, and a node that
-serves without one of its threads would look healthy and owe answers for ever.
+A thread that fails with an exception is logged and restarted after a delay.  One that fails ``MAX_FAILURES`` times
+within ``FAILURE_WINDOW_S`` ends the process: its supervisor (or the platform) can start a new one, while a node that
+serves without one of its threads would look healthy and never answer some requests.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 from collections import deque
 from collections.abc import Callable
 
-MAX_FAILURES = 5  # errors
-FAILURE_WINDOW_S = 10.0  # seconds
-RESTART_DELAY_S = 0.05  # seconds before it runs again
+MAX_FAILURES = 5
+FAILURE_WINDOW_S = 10.0
+RESTART_DELAY_S = 0.05
 EXIT_CODE = 70  # sysexits.h: an internal error
 
 
-def end_process(text: str) -> None:
-    """End at once; what was taken is lost as in a crash."""
+def end_process(message: str) -> None:
+    """End the process at once; open requests are lost as in a crash."""
     os._exit(EXIT_CODE)
 
 
 def _run(name: str, body: Callable[[], None], log: Callable[[str], None]) -> None:
-    failed: deque[float] = deque(maxlen=MAX_FAILURES)
+    failure_times: deque[float] = deque(maxlen=MAX_FAILURES)
     while True:
         try:
             body()
             return
         except Exception as error:
-            failed.append(time.monotonic())
-            text = f"thread {name}: {type(error).__name__}: {error}"
-            if len(failed) == MAX_FAILURES and failed[-1] - failed[0] < FAILURE_WINDOW_S:
-                log(f"{text}; the {MAX_FAILURES}th time within {FAILURE_WINDOW_S:g} s: the process ends")
-                end_process(text)
+            failure_times.append(time.monotonic())
+            message = f"thread {name}: {type(error).__name__}: {error}"
+            if len(failure_times) == MAX_FAILURES and failure_times[-1] - failure_times[0] < FAILURE_WINDOW_S:
+                log(f"{message}; the {MAX_FAILURES}th time within {FAILURE_WINDOW_S:g} s: the process ends")
+                end_process(message)
                 return
-            log(f"{text}; it goes on")
+            log(f"{message}; it goes on")
         time.sleep(RESTART_DELAY_S)
 
 
 def restarting_thread(name: str, body: Callable[[], None], log: Callable[[str], None]) -> threading.Thread:
-    """A daemon thread, not yet started, that runs ``body`` until that returns."""
+    """A daemon thread, not yet started, that runs ``body`` until it returns and restarts it after failures."""
     return threading.Thread(target=_run, args=(name, body, log), name=name, daemon=True)
--- a/stonetrack/node/transitions.py
+++ b/stonetrack/node/transitions.py
@@ -1,7 +1,7 @@
-"""What happens to one request, as typed steps: for its record, its log line and the run-time invariants.  No I/O.
+"""The steps of one request, typed, for its record, its log line and the run-time invariants.  No I/O.
 
-A step says what this node *knows*.  Bytes handed to the kernel are :attr:`Step.SENT`, never an arrival; only what comes
-back from an engine (a first event, an outcome that the engine itself answered, a release that was answered) proves one.
+A step states what this node *knows*.  Bytes handed to the kernel are :attr:`Step.SENT`, which proves no arrival; only
+what an engine sends back (a first event, an outcome that the engine itself answered, an answered release) proves one.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Step(Enum):
-    """One kind of step; the text stands in the log."""
+    """Kind of a step; the value is its text in the log."""
 
     ARRIVED = "arrived"
     SENT = "sent"
@@ -27,17 +27,17 @@
 
 
 ANSWERED_BY_ENGINE = frozenset({Outcome.READ, Outcome.SERVED, Outcome.ERROR, Outcome.FULL})
-"""Outcomes that an engine's own answer gave: they prove that the attempt had arrived."""
+"""Outcomes that come from an engine's own answer: they prove that the attempt had arrived."""
 
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """One step of one request.
+    """One step of one request.  Times are in nanoseconds.
 
-    ``at`` is the node's clock in nanoseconds; ``engine`` and ``attempt`` name the other side where there is one;
-    ``reads`` tells that the attempt is at a prefill engine; ``time_told`` is the time that an attempt told its engine,
-    in nanoseconds; ``decided`` is when a release that is now heard was decided; ``closed_for``
-    for how many nanoseconds a list has told that an attempt's engine is to be sent nothing.
+    ``at`` is the node's clock; ``engine`` and ``attempt`` identify the other side where there is one; ``is_prefill``
+    says that the attempt is at a prefill engine; ``propagated_time`` is the time limit that an attempt passed to its
+    engine; ``decided_at`` is when a release that an engine now confirms was decided; ``closed_for`` is for how long a
+    server list has announced that the attempt's engine takes no new requests.
     """
 
     at: int
@@ -53,7 +53,7 @@
     closed_for: int = 0
 
     def text(self, since: int) -> str:
-        """This step as the log has it, with seconds since the request's arrival."""
+        """The step as the log shows it, with seconds since ``since``, the request's arrival."""
         parts = [f"{(self.at - since) / 1e9:.3f} {self.step.value}"]
         if self.attempt >= 0:
             parts.append(f"#{self.attempt}")
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -1,4 +1,4 @@
-"""A node of the platform among emulated engines and discovery: what tests of the platform's protocol share."""
+"""A node of the platform with emulated engines and discovery, for tests of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 class Platform(emulated.Platform):
     """Engines and discovery for one node."""
 
-    def __init__(self, readers: int, writers: int) -> None:
-        super().__init__(readers, writers)
-        self.unknown_after = 0.02  # a test waits for no more than it looks at
+    def __init__(self, prefill_engines: int, decode_engines: int) -> None:
+        super().__init__(prefill_engines, decode_engines)
+        self.unknown_after = 0.02  # seconds; short, so that tests do not wait for it
         self.listen = free_port()
 
     @property
@@ -50,8 +50,8 @@
 
 
 @contextmanager
-def platform(readers: int = 2, writers: int = 2) -> Iterator[Platform]:
-    made = Platform(readers, writers)
+def platform(prefill_engines: int = 2, decode_engines: int = 2) -> Iterator[Platform]:
+    made = Platform(prefill_engines, decode_engines)
     try:
         yield made
     finally:
@@ -59,9 +59,9 @@
 
 
 @contextmanager
-def node(world: Platform, traced: bool = False, **limits: Any) -> Iterator[EdgeNode]:
+def node(emulated_platform: Platform, traced: bool = False, **limits: Any) -> Iterator[EdgeNode]:
     """A node in this process."""
-    made = EdgeNode(parse(world.config(**limits)), traced)
+    made = EdgeNode(parse(emulated_platform.config(**limits)), traced)
     made.start()
     try:
         yield made
@@ -70,19 +70,19 @@
 
 
 def is_idle(made: EdgeNode) -> bool:
-    """Whether nothing is counted as out, waiting or held."""
+    """Whether no attempt, queue entry or held state is counted anywhere."""
     router = made.core.router
     servers = router.servers.values()  # type: ignore[attr-defined]
     return not (
         router.requests  # type: ignore[attr-defined]
-        or any(s.waiting or s.streams or s.states or s.work_out for s in servers)
+        or any(s.unanswered or s.streams or s.held_states or s.pending_tokens for s in servers)
         or made.core.open_requests
         or made.leases.open
     )
 
 
 def up(port: int) -> bool:
-    """Whether a node answers there that it serves."""
+    """Whether a node on this port reports that it serves."""
     try:
         client = Client(port, 1.0)
     except OSError:
@@ -94,14 +94,14 @@
 
 
 class Program:
-    """The program itself, with a configuration in a file."""
+    """The node as a process of its own, with its configuration in a file."""
 
-    def __init__(self, world: Platform, folder: Path) -> None:
+    def __init__(self, emulated_platform: Platform, folder: Path) -> None:
         self.path = folder / "config.json"
-        self.path.write_bytes(world.config())
+        self.path.write_bytes(emulated_platform.config())
         env = {**os.environ, "EDGE_CONFIG": str(self.path)}
         self.process = subprocess.Popen([sys.executable, "-m", "stonetrack", "edge"], env=env, stderr=subprocess.PIPE)
-        assert wait_for(lambda: up(world.listen)), "not up in time"
+        assert wait_for(lambda: up(emulated_platform.listen)), "the node did not start in time"
 
     def signal(self, number: signal.Signals) -> None:
         self.process.send_signal(number)
@@ -115,23 +115,23 @@
 
 
 @contextmanager
-def program(world: Platform, folder: Path) -> Iterator[Program]:
-    made = Program(world, folder)
+def program(emulated_platform: Platform, folder: Path) -> Iterator[Program]:
+    made = Program(emulated_platform, folder)
     try:
         yield made
     finally:
         made.end()
 
 
-def headers(request: str, **changes: str) -> str:
-    """A usual client's."""
-    fields = {"X-Correlation-Id": request, "X-Service-Class": "chat", "X-Session-Key": f"s-{request}",
+def headers(request_id: str, **changes: str) -> str:
+    """Request headers of a usual client."""
+    fields = {"X-Correlation-Id": request_id, "X-Service-Class": "chat", "X-Session-Key": f"s-{request_id}",
               "X-Time-Left": "3000m", "X-Facts": "prompt_len=800,max_out=100",
               **{name.replace("_", "-"): value for name, value in changes.items()}}  # fmt: skip
     return "".join(f"{name}: {value}\r\n" for name, value in fields.items())
 
 
-def round_trip(client: Client, request: str, **changes: str) -> tuple[http1.ResponseHead, bytes]:
-    """One request and its whole answer.  Raises where the answer breaks off."""
-    client.send_request(b'{"model":"chat"}', CHAT, headers=headers(request, **changes))
+def round_trip(client: Client, request_id: str, **changes: str) -> tuple[http1.ResponseHead, bytes]:
+    """Send one request and return its complete answer.  Raises ConnectionError where the answer breaks off."""
+    client.send_request(b'{"model":"chat"}', CHAT, headers=headers(request_id, **changes))
     return client.answer()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""The instants at which a connection or a node ends: what was read is answered, what was not is left unread."""
+"""Connections and nodes that close: requests already read are answered, and others are left unread."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 GET = b"GET /%d HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-class Bare:
-    """A host alone; each request is answered with its path."""
+class BareHost:
+    """A host without a node; each request is answered with its path."""
 
     def __init__(self, **limits: int) -> None:
         self.listener = listen("127.0.0.1", 0, 64)
         self.port = self.listener.getsockname()[1]
-        self.asked: list[str] = []
-        self.said: list[str] = []
+        self.paths: list[str] = []
+        self.logged: list[str] = []
         self.wait = threading.Event()
         self.wait.set()
         self.host = Host(
             self.listener, Limits(**limits), Timing(idle_ms=60_000), self.handle,
-            lambda status, why: plain(status, why.encode(), keep=False), self.said.append)  # fmt: skip
+            lambda status, why: plain(status, why.encode(), keep=False), self.logged.append)  # fmt: skip
 
     def handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
-        self.asked.append(request.head.path)
+        self.paths.append(request.head.path)
         self.wait.wait(5.0)
         keep = request.head.keep_alive and not connection.last
         connection.write(plain(200, request.head.path.encode(), keep=keep))
@@ -51,8 +51,8 @@
 
 
 @contextmanager
-def bare(**limits: int) -> Iterator[Bare]:
-    made = Bare(**limits)
+def bare_host(**limits: int) -> Iterator[BareHost]:
+    made = BareHost(**limits)
     made.host.start()
     try:
         yield made
@@ -70,40 +70,40 @@
         sockets.SYSTEM = real
 
 
-def test_requests_that_were_read_together_are_all_answered_by_a_host_that_leaves() -> None:
-    """The first answer said that the connection closes, and what was read behind the request was dropped."""
-    with bare() as made:
-        client = Client(made.port)
-        made.wait.clear()
+def test_requests_read_together_are_all_answered_by_a_stopping_host() -> None:
+    """The first answer announced that the connection closes, and requests read after it were dropped."""
+    with bare_host() as bare:
+        client = Client(bare.port)
+        bare.wait.clear()
         client.send(GET % 1 + GET % 2 + GET % 3)
-        assert wait_for(lambda: made.asked == ["/1"])
-        made.host.leave()
-        made.host.drain()
-        made.wait.set()
+        assert wait_for(lambda: bare.paths == ["/1"])
+        bare.host.leave()
+        bare.host.drain()
+        bare.wait.set()
         answers = [client.answer() for _ in range(3)]
         assert [body for _, body in answers] == [b"/1", b"/2", b"/3"]
         assert [head.keep_alive for head, _ in answers] == [True, True, False]
-        assert wait_for(lambda: made.host.connections == 0)
+        assert wait_for(lambda: bare.host.connections == 0)
 
 
-def test_half_a_request_behind_an_answered_one_is_waited_for_by_a_host_that_drains() -> None:
-    with bare() as made:
-        client = Client(made.port)
-        made.wait.clear()
+def test_a_draining_host_waits_for_the_rest_of_a_partly_read_request() -> None:
+    with bare_host() as bare:
+        client = Client(bare.port)
+        bare.wait.clear()
         client.send(GET % 1 + (GET % 2)[:10])
-        assert wait_for(lambda: made.asked == ["/1"])
-        made.host.drain()
-        made.wait.set()
-        assert client.answer()[1] == b"/1" and made.host.busy
+        assert wait_for(lambda: bare.paths == ["/1"])
+        bare.host.drain()
+        bare.wait.set()
+        assert client.answer()[1] == b"/1" and bare.host.busy
         time.sleep(0.05)
-        assert not made.host.seal()
+        assert not bare.host.seal()
         client.send((GET % 2)[10:])
         assert client.answer()[1] == b"/2"
-        assert wait_for(lambda: not made.host.busy)
+        assert wait_for(lambda: not bare.host.busy)
 
 
 def test_a_close_between_two_requests_reads_nothing() -> None:
-    """A request that crosses the close was read and thrown away; unread, its client sends it again elsewhere."""
+    """A request sent during the close was read and dropped; if it stays unread, its client retries it elsewhere."""
     ours, theirs = socket.socketpair()
     read: list[int] = []
 
@@ -120,68 +120,68 @@
         ours, theirs = socket.socketpair()
         theirs.sendall(GET % 1)
         Connection(ours, http1.Limits(), HostState()).close_answered()
-        assert read  # behind an answer that was the last, so that no reset takes the answer along
+        assert read  # after a final answer, so that no reset destroys that answer
 
 
-def test_a_request_that_came_in_time_is_read_before_its_connection_is_closed_as_idle(
+def test_a_request_that_arrived_in_time_is_read_before_its_connection_is_closed_as_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made = Bare()
+    bare = BareHost()
     closed: list[Connection] = []
-    monkeypatch.setattr(made.host, "_close", closed.append)
+    monkeypatch.setattr(bare.host, "_close", closed.append)
     ours, theirs = socket.socketpair()
-    resting = Connection(ours, http1.Limits(), HostState())
+    idle = Connection(ours, http1.Limits(), HostState())
     theirs.sendall(GET % 2)
-    made.host._close_if_idle(resting)
+    bare.host._close_if_idle(idle)
     assert not closed
     ours.recv(100)
-    made.host._close_if_idle(resting)
-    assert closed == [resting]
-    made.listener.close()
+    bare.host._close_if_idle(idle)
+    assert closed == [idle]
+    bare.listener.close()
 
 
 def test_a_sealed_host_reads_nothing_more_and_a_busy_one_is_not_sealed() -> None:
-    """A request read between the last look at `busy` and the end of the process would be lost."""
-    with bare() as made:
-        client = Client(made.port)
+    """A request read between the last check of `busy` and the end of the process would be lost."""
+    with bare_host() as bare:
+        client = Client(bare.port)
         client.send(GET % 1)
         assert client.answer()[1] == b"/1"
-        made.wait.clear()
+        bare.wait.clear()
         client.send(GET % 2)
-        assert wait_for(lambda: len(made.asked) == 2)
-        assert made.host.busy and not made.host.seal()
-        made.wait.set()
+        assert wait_for(lambda: len(bare.paths) == 2)
+        assert bare.host.busy and not bare.host.seal()
+        bare.wait.set()
         assert client.answer()[1] == b"/2"
-        assert wait_for(made.host.seal)
+        assert wait_for(bare.host.seal)
         client.send(GET % 3)
         time.sleep(0.4)
-        assert len(made.asked) == 2
+        assert len(bare.paths) == 2
 
 
-def test_a_request_between_the_reading_thread_and_its_worker_keeps_the_host_busy(
+def test_a_request_on_its_way_to_a_worker_keeps_the_host_busy(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    with bare() as made:
-        here, on = threading.Event(), threading.Event()
-        real = made.host._hand_over
+    with bare_host() as bare:
+        entered, proceed = threading.Event(), threading.Event()
+        real = bare.host._hand_over
 
         def slowly(connection: Connection, request: Request) -> None:
-            here.set()
-            on.wait(5.0)
+            entered.set()
+            proceed.wait(5.0)
             real(connection, request)
 
-        monkeypatch.setattr(made.host, "_hand_over", slowly)
-        client = Client(made.port)
+        monkeypatch.setattr(bare.host, "_hand_over", slowly)
+        client = Client(bare.port)
         client.send(GET % 1)
-        assert here.wait(5.0)
-        busy, sealed = made.host.busy, made.host.seal()
-        on.set()
+        assert entered.wait(5.0)
+        busy, sealed = bare.host.busy, bare.host.seal()
+        proceed.set()
         assert busy and not sealed and client.answer()[1] == b"/1"
 
 
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED, errno.EINTR])
-def test_clients_in_the_backlog_are_answered_when_a_host_empties_it_at_its_end(code: int) -> None:
-    """The first error ended the sweep, and the listening socket was closed over clients that had sent requests."""
+def test_clients_in_the_backlog_are_answered_when_a_draining_host_empties_it(code: int) -> None:
+    """The first error ended the sweep, and the listening socket was closed while clients with requests were waiting."""
 
     class Failing(System):
         def __init__(self) -> None:
@@ -193,37 +193,37 @@
                 raise OSError(code, "injected")
             return super().accept(listener)
 
-    made = Bare()
-    clients = [Client(made.port) for _ in range(4)]
+    bare = BareHost()
+    clients = [Client(bare.port) for _ in range(4)]
     for n, client in enumerate(clients):
         client.send(GET % n)
-    made.host._spare = None
-    made.host._parking.start()
+    bare.host._spare = None
+    bare.host._parking.start()
     with system(Failing()):
-        made.host.drain(sweep=True)
+        bare.host.drain(sweep=True)
     for n, client in enumerate(clients):
         head, body = client.answer()
         assert (head.status, body) == (200, b"/%d" % n) or head.status == 503
-    made.host.stop()
+    bare.host.stop()
 
 
-def test_a_host_without_a_descriptor_ends_its_sweep_in_time() -> None:
+def test_a_host_without_free_descriptors_ends_its_sweep_in_time() -> None:
     class Full(System):
         def accept(self, listener: socket.socket) -> socket.socket:
             raise OSError(errno.EMFILE, "Too many open files")
 
-    made = Bare()
-    made.host._parking.start()
+    bare = BareHost()
+    bare.host._parking.start()
     began = time.monotonic()
     with system(Full()):
-        made.host.drain(sweep=True)
+        bare.host.drain(sweep=True)
     assert time.monotonic() - began < 1.5
-    made.host.stop()
+    bare.host.stop()
 
 
-def test_a_client_that_can_not_be_watched_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    with bare() as made:
-        real = made.host._epoll
+def test_a_client_that_can_not_be_polled_receives_503(monkeypatch: pytest.MonkeyPatch) -> None:
+    with bare_host() as bare:
+        real = bare.host._epoll
 
         class Full:
             def register(self, fd: int, mask: int) -> None:
@@ -232,82 +232,85 @@
             def __getattr__(self, name: str) -> Any:
                 return getattr(real, name)
 
-        monkeypatch.setattr(made.host, "_epoll", Full())
-        assert Client(made.port).answer()[0].status == 503
-        assert wait_for(lambda: made.host.connections == 0)
+        monkeypatch.setattr(bare.host, "_epoll", Full())
+        assert Client(bare.port).answer()[0].status == 503
+        assert wait_for(lambda: bare.host.connections == 0)
 
 
-def test_out_of_memory_while_a_request_is_read_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
-    def none_left(self: Connection, data: bytes) -> Request | None:
+def test_out_of_memory_while_a_request_is_read_is_answered_with_503(monkeypatch: pytest.MonkeyPatch) -> None:
+    def out_of_memory(self: Connection, data: bytes) -> Request | None:
         raise MemoryError
 
-    with bare() as made:
+    with bare_host() as bare:
         with monkeypatch.context() as patched:
-            patched.setattr(Connection, "take", none_left)
-            client = Client(made.port)
+            patched.setattr(Connection, "take", out_of_memory)
+            client = Client(bare.port)
             client.send(GET % 1)
             assert client.answer()[0].status == 503
-        client = Client(made.port)
+        client = Client(bare.port)
         client.send(GET % 2)
         assert client.answer()[1] == b"/2"
 
 
-def test_a_worker_without_memory_for_its_waker_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    def none_left(self: Waker, descriptor: bool = True) -> None:
+def test_a_worker_without_memory_for_its_waker_answers_503(monkeypatch: pytest.MonkeyPatch) -> None:
+    def out_of_memory(self: Waker, descriptor: bool = True) -> None:
         raise MemoryError
 
-    with bare() as made:
+    with bare_host() as bare:
         with monkeypatch.context() as patched:
-            patched.setattr(Waker, "__init__", none_left)
+            patched.setattr(Waker, "__init__", out_of_memory)
             patched.setattr(Waker, "close", lambda self: None)
-            client = Client(made.port)
+            client = Client(bare.port)
             client.send(GET % 1)
             assert client.answer()[0].status == 503
-        assert wait_for(lambda: made.host.workers == 0)
+        assert wait_for(lambda: bare.host.workers == 0)
 
 
-def test_what_a_list_that_can_not_be_read_told_is_asked_for_again(capfd: pytest.CaptureFixture[str]) -> None:
-    """It was passed over, the version of the next one taken, and what it had told was lost for good."""
-    with platform() as world, node(world) as made:
-        assert wait_for(lambda: made.hosts.rev == 1 and len(world.discovery.asked) == 1)
-        whole = world.document
+def test_a_list_that_can_not_be_decoded_is_requested_again(capfd: pytest.CaptureFixture[str]) -> None:
+    """Such a list was skipped and the version of the next one adopted, so that its changes were lost for good."""
+    with platform() as emulated, node(emulated) as edge_node:
+        assert wait_for(lambda: edge_node.hosts.rev == 1 and len(emulated.discovery.asked) == 1)
+        real_document = emulated.document
         broken = b'{"rev": 2, "all": false, "targets": [{"uid": 7}]}'
-        world.document = lambda node=0: broken  # type: ignore[method-assign]
-        world.change("w0", "DRAINING")
-        assert wait_for(lambda: len(world.discovery.asked) > 3)
-        assert made.hosts.rev == 1 and made.hosts.engines["w0"].up
-        assert all(target.endswith("&after=1") for target in world.discovery.asked[1:])
-        world.document = whole  # type: ignore[method-assign]
-        assert wait_for(lambda: not made.hosts.engines["w0"].up)
-    said = [line for line in capfd.readouterr().err.splitlines() if "Expected `str`" in line]
-    assert len(said) == 1, said  # once, not at every try
+        emulated.document = lambda node=0: broken  # type: ignore[method-assign]
+        emulated.change("w0", "DRAINING")
+        assert wait_for(lambda: len(emulated.discovery.asked) > 3)
+        assert edge_node.hosts.rev == 1 and edge_node.hosts.engines["w0"].up
+        assert all(target.endswith("&after=1") for target in emulated.discovery.asked[1:])
+        emulated.document = real_document  # type: ignore[method-assign]
+        assert wait_for(lambda: not edge_node.hosts.engines["w0"].up)
+    logged = [line for line in capfd.readouterr().err.splitlines() if "Expected `str`" in line]
+    assert len(logged) == 1, logged  # once, not at every retry
 
 
 @pytest.mark.parametrize("pause", [0.0, 0.1], ids=["after its end", "in its stream"])
-def test_a_state_that_comes_about_behind_its_request_is_let_go_of(pause: float) -> None:
-    """Its read was given up and went on: the engine holds it for a request that needs it no more, and nobody asks."""
-    with platform() as world, node(world) as made:
-        world.latitude = Latitude(0, {**KINDEST, Sentence.GIVEN_UP: True, Sentence.RELEASE_INTO_READ: False})
-        world.pause, slow = pause, world.engines["r0"]
-        world.work = 0.02
+def test_state_created_after_its_request_moved_on_is_released(pause: float) -> None:
+    """An abandoned prefill went on: the engine held state for a request that no longer needed it."""
+    with platform() as emulated, node(emulated) as edge_node:
+        emulated.latitude = Latitude(0, {**KINDEST, Sentence.GIVEN_UP: True, Sentence.RELEASE_INTO_READ: False})
+        emulated.pause, slow = pause, emulated.engines["r0"]
+        emulated.work = 0.02
         slow.trouble = Trouble.HANG_BEFORE
-        client = Client(world.listen)
+        client = Client(emulated.listen)
         for n in range(12):
             assert round_trip(client, f"q{n}")[0].status == 200
-        first = {each.request: each.engine for each in reversed(world.seen) if each.what == "read"}
+        first = {each.request: each.engine for each in reversed(emulated.seen) if each.what == "read"}
         late = [request for request, engine in first.items() if engine == "r0"]
-        assert late, "no read was given up at r0"
+        assert late, "no prefill was abandoned at r0"
         slow.trouble = None
-        assert wait_for(lambda: made.abandoned.counts.told >= len(late))
-        assert wait_for(lambda: not world.held and not len(made.abandoned), 3.0), (world.held, made.abandoned.counts)
-        with world.lock:
-            longest = max((stay.until - stay.since) / 1e9 for stay in world.books.stays)
+        assert wait_for(lambda: edge_node.abandoned.counts.told >= len(late))
+        assert wait_for(lambda: not emulated.held and not len(edge_node.abandoned), 3.0), (
+            emulated.held,
+            edge_node.abandoned.counts,
+        )
+        with emulated.lock:
+            longest = max((stay.until - stay.since) / 1e9 for stay in emulated.books.stays)
         assert longest < 0.5 + 0.3
 
 
 @pytest.mark.parametrize("how", ["close", "half close", "reset"])
-def test_an_attempt_whose_last_byte_is_not_sent_ends_with_its_client(how: str) -> None:
-    """An attempt begins with its request's last byte, which was written 0.3 s and more after the client had left."""
+def test_an_attempt_not_yet_sent_completely_ends_with_its_client(how: str) -> None:
+    """An attempt begins with its request's last byte, which was written 0.3 s and more after the client left."""
     hold = threading.Event()
 
     class Slow(System):
@@ -318,14 +321,14 @@
                 return super().send(sock, data[: len(data) - 20], flags)
             return super().send(sock, data, flags)
 
-    with platform() as world, node(world) as made:
-        engines = {engine.port for engine in world.engines.values()}
-        router: Any = made.core.router
-        router.settings = replace(router.settings, may_cancel=False)  # else the router's cancellation ends it
+    with platform() as emulated, node(emulated) as edge_node:
+        engines = {engine.port for engine in emulated.engines.values()}
+        router: Any = edge_node.core.router
+        router.settings = replace(router.settings, may_cancel=False)  # else the router's cancellation ends the attempt
         with system(Slow()):
-            client = Client(world.listen)
+            client = Client(emulated.listen)
             client.send_request(b'{"model":"chat"}', CHAT, headers=headers("gone"))
-            assert wait_for(lambda: any(s.waiting for s in router.servers.values()))
+            assert wait_for(lambda: any(s.unanswered for s in router.servers.values()))
             time.sleep(0.05)
             if how == "half close":
                 client.sock.shutdown(socket.SHUT_WR)
@@ -333,8 +336,8 @@
                 sockets.reset(client.sock)
             else:
                 client.close()
-            assert wait_for(lambda: made.core.open_requests == 0, 1.0)
+            assert wait_for(lambda: edge_node.core.open_requests == 0, 1.0)
             hold.set()
         time.sleep(0.2)
-        assert not [what for what, _ in world.which("gone") if what in ("read", "write")]
-        assert round_trip(Client(world.listen), "next")[0].status == 200
+        assert not [what for what, _ in emulated.which("gone") if what in ("read", "write")]
+        assert round_trip(Client(emulated.listen), "next")[0].status == 200
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -1,4 +1,4 @@
-"""The table of what a node owes: the page shows it, and what it names is there and names its row."""
+"""The table of obligations: the page shows it, and each function that it names exists and names its row."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 PAGE = Path(__file__).resolve().parents[1] / "docs" / "obligations.md"
 
 
-def found(name: str) -> object:
-    """What ``module:name`` names.  Raises AttributeError, ImportError."""
+def look_up(name: str) -> object:
+    """The object that ``module:name`` names.  Raises AttributeError, ImportError."""
     module, _, path = name.partition(":")
-    thing: object = importlib.import_module(module)
+    target: object = importlib.import_module(module)
     for part in path.split("."):
-        thing = getattr(thing, part)
-    return thing
+        target = getattr(target, part)
+    return target
 
 
-def test_the_page_shows_the_table_and_every_sentence_that_is_drawn() -> None:
+def test_the_page_shows_the_table_and_every_drawn_sentence() -> None:
     page = PAGE.read_text("utf-8")
     assert markdown() in page
     for sentence in Sentence:
@@ -31,20 +31,20 @@
         assert sentence.value in line and f" {len(set(CHOICES[sentence]))} " in line
 
 
-def test_every_obligation_has_one_row_with_somebody_who_acts_and_somebody_who_checks() -> None:
+def test_every_obligation_has_one_row_with_functions_that_act_and_that_check() -> None:
     assert [row.obligation for row in TABLE] == list(Obligation)
     for row in TABLE:
         assert row.acts and row.checked_by and row.begins and row.ends and row.deadline
 
 
 @pytest.mark.parametrize("row", TABLE, ids=lambda row: row.obligation.value)
-def test_what_a_row_names_is_there_and_says_which_row_it_is(row: object) -> None:
+def test_functions_named_in_a_row_exist_and_name_the_row(row: object) -> None:
     each = next(one for one in TABLE if one is row)
     for name in (*each.acts, *each.checked_by):
-        text = inspect.getdoc(found(name)) or ""
+        text = inspect.getdoc(look_up(name)) or ""
         assert f"Obligation.{each.obligation.name}" in text, f"{name} does not name its row"
 
 
-def test_a_name_that_is_not_there_is_noticed() -> None:
+def test_a_name_that_does_not_exist_raises() -> None:
     with pytest.raises(AttributeError):
-        found("stonetrack.logic:Router._not_there")
+        look_up("stonetrack.logic:Router._not_there")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -136,8 +136,9 @@
         ("request.class_settings.effect is Effect.SAFE:\n            return True\n        first =",
          "True:\n            return True\n        first ="),), (RESETS,)),
     Broken(4, "node/request_runner.py", (
-        ("    def _lost(self, now: int) -> None:\n", "    def _lost(self, now: int) -> None:\n        return\n"),
-        ("left, closed = self._client_left(), not", "left, closed = False, not")), (SLOW,),
+        ("    def _handle_disconnect(self, now: int) -> None:\n",
+         "    def _handle_disconnect(self, now: int) -> None:\n        return\n"),
+        ("client_left, engine_closed = self._client_left(), not", "client_left, engine_closed = False, not")), (SLOW,),
         msgspec.structs.replace(USUAL, leave_early=1.0), names_itself=False),
     Broken(7, "edge/engines.py", (
         ("left = ask.body.deadline - self._clock()\n", "left = ask.body.deadline - self._clock() + 2_000_000_000\n"),)),
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""Each documented error of each system call, at every call of one request's whole life; judged by the five rules."""
+"""Each documented error of each system call, injected at every call of one request, judged by the five rules."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.harness import Client, wait_for
 from tests.platform import Platform, is_idle, node, platform, round_trip
 
-SHORT = 0  # in place of an error: one byte alone is sent or read
+SHORT = 0  # in place of an error: a single byte is sent or read
 ERRORS: dict[SystemCall, tuple[int, ...]] = {
     SystemCall.ACCEPT: (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR,
                   errno.EAGAIN, errno.EPROTO, errno.ENETDOWN, errno.EPERM),
@@ -38,23 +38,23 @@
 }  # fmt: skip
 CASES = [(call, code) for call, codes in ERRORS.items() for code in codes]
 FaultyT = TypeVar("FaultyT", bound=System)
-LONGEST = 60  # calls of one kind in one request's life, at most
+MAX_CALLS = 60  # of one kind in one request
 
 
-def named(case: object) -> str:
+def case_name(case: object) -> str:
     if isinstance(case, SystemCall):
         return case.value
     return errno.errorcode.get(case, "short") if isinstance(case, int) else str(case)
 
 
 class Faulty(System):
-    """Gives an error at the ``at``-th call of one kind, ``times`` times in a row."""
+    """Raises an error at the ``at``-th call of one kind, ``times`` times in a row."""
 
     def __init__(self, call: SystemCall, code: int, at: int, times: int, client_port: int) -> None:
         self.call, self.code, self.at, self.times, self._port = call, code, at, times, client_port
         self.count = 0
         self.fired = 0
-        self.at_client = False  # one of them was on a client's connection
+        self.at_client = False  # whether one of the failed calls was on a client's connection
         self._lock = threading.Lock()
 
     def _due(self, call: SystemCall, sock: socket.socket | None = None) -> bool:
@@ -69,7 +69,7 @@
                 try:
                     self.at_client |= sock.getsockname()[1] == self._port
                 except OSError:
-                    self.at_client = True  # it is gone already
+                    self.at_client = True  # the connection is closed already
             return True
 
     def _step(self, call: SystemCall, sock: socket.socket | None = None) -> None:
@@ -125,10 +125,10 @@
         sockets.SYSTEM = real
 
 
-def one(world: Platform, request: str) -> int:
-    """A client's request on a connection of its own; the status, 0 for one that ended without a whole answer."""
+def status_of(emulated: Platform, request: str) -> int:
+    """Send one request on a new connection; the status, 0 where no complete answer came."""
     try:
-        client = Client(world.listen, 5.0)
+        client = Client(emulated.listen, 5.0)
         try:
             return round_trip(client, request)[0].status
         finally:
@@ -137,89 +137,91 @@
         return 0
 
 
-def judge(world: Platform, made: EdgeNode, faulty: Faulty, status: int, where: str) -> None:
-    """The five rules, and whom the fault may be counted against."""
+def check_rules(emulated: Platform, edge_node: EdgeNode, faulty: Faulty, status: int, where: str) -> None:
+    """Check the five rules, and which side the fault may be counted against."""
     peer = faulty.code != SHORT and classify_error(faulty.call, OSError(faulty.code, "")) is ErrorClass.PEER
     lost_client = peer and faulty.at_client and faulty.call in (SystemCall.SEND, SystemCall.RECEIVE)
     engine_lost = peer and not faulty.at_client and faulty.call in (SystemCall.SEND, SystemCall.RECEIVE)
-    broken_stream = engine_lost and status == 0 and any(what == "write" for _, what, _, _ in world.seen)
+    broken_stream = engine_lost and status == 0 and any(what == "write" for _, what, _, _ in emulated.seen)
     assert status in (200, 502, 503) or lost_client or broken_stream, f"{where}: answered {status}"
     if not peer:
-        left_out = [s.name for s in made.core.router.servers.values() if s.paused]  # type: ignore[attr-defined]
-        assert not left_out, f"{where}: {left_out} left out for a fault of this machine"
-    # Where an engine's connection has ended, what the engine still runs is no attempt on an open connection.
-    assert world.most_out <= 1 or engine_lost, f"{where}: attempts overlapped"
-    world.most_out = 0
-    world.seen.clear()
-    assert wait_for(lambda: is_idle(made) and not world.held, 5.0), f"{where}: held {world.held}"
-
-
-def begin_anew(made: EdgeNode) -> None:
-    """No kept connection, and nobody left out: each request opens its connections, to any engine."""
-    made.pool.forget(set())
-    made.pool.rest._failed.clear()
-    for server in made.core.router.servers.values():  # type: ignore[attr-defined]
-        server.paused.clear()
-    made.calls.suspects.clear()
-
-
-@pytest.mark.parametrize(("call", "code"), CASES, ids=named)
-def test_one_error_at_every_call_of_a_requests_life(call: SystemCall, code: int) -> None:
-    with platform() as world, node(world) as made:
-        assert one(world, "before") == 200 and wait_for(lambda: is_idle(made))
-        for at in range(1, LONGEST):
-            begin_anew(made)
-            with faults(Faulty(call, code, at, 1, world.listen)) as faulty:
-                status = one(world, f"q{at}")
-                where = f"{call.value} {named(code)} at call {at}"
-                judge(world, made, faulty, status, where)
-                # The client's connection is closed when its end is read, by another thread: that call is one of them.
-                assert wait_for(lambda: made.host.connections == 0), f"{where}: the client's connection stayed open"
+        ejected = [s.name for s in edge_node.core.router.servers.values() if s.ejections]  # type: ignore[attr-defined]
+        assert not ejected, f"{where}: {ejected} ejected for a fault of this machine"
+    # After an engine's connection has ended, what the engine still runs is no attempt on an open connection.
+    assert emulated.most_out <= 1 or engine_lost, f"{where}: attempts overlapped"
+    emulated.most_out = 0
+    emulated.seen.clear()
+    assert wait_for(lambda: is_idle(edge_node) and not emulated.held, 5.0), f"{where}: held {emulated.held}"
+
+
+def reset_node(edge_node: EdgeNode) -> None:
+    """Drop pooled connections and ejections, so that each request opens connections, to any engine."""
+    edge_node.pool.forget(set())
+    edge_node.pool.rest._failed.clear()
+    for server in edge_node.core.router.servers.values():  # type: ignore[attr-defined]
+        server.ejections.clear()
+    edge_node.calls.suspects.clear()
+
+
+@pytest.mark.parametrize(("call", "code"), CASES, ids=case_name)
+def test_one_error_at_every_call_of_a_request(call: SystemCall, code: int) -> None:
+    with platform() as emulated, node(emulated) as edge_node:
+        assert status_of(emulated, "before") == 200 and wait_for(lambda: is_idle(edge_node))
+        for at in range(1, MAX_CALLS):
+            reset_node(edge_node)
+            with faults(Faulty(call, code, at, 1, emulated.listen)) as faulty:
+                status = status_of(emulated, f"q{at}")
+                where = f"{call.value} {case_name(code)} at call {at}"
+                check_rules(emulated, edge_node, faulty, status, where)
+                # Another thread closes the client's connection when it reads its end; that close is one of the calls.
+                assert wait_for(lambda: edge_node.host.connections == 0), (
+                    f"{where}: the client's connection stayed open"
+                )
                 peer = code != SHORT and classify_error(call, OSError(code, "")) is ErrorClass.PEER
-                assert peer or status == 200, f"{where}: one passing error, and answered {status}"
+                assert peer or status == 200, f"{where}: one transient error, and answered {status}"
             if not faulty.fired or (call is SystemCall.ACCEPT and at > 2):
                 break
         else:
-            raise AssertionError(f"over {LONGEST} calls in one request")
+            raise AssertionError(f"over {MAX_CALLS} calls in one request")
         assert at > 1, "the call was never made"
-        begin_anew(made)
-        assert one(world, "after") == 200
+        reset_node(edge_node)
+        assert status_of(emulated, "after") == 200
 
 
 @pytest.mark.parametrize(("call", "code"), [(c, e) for c, e in CASES if e not in (SHORT, errno.EAGAIN, errno.EINTR)],
-                         ids=named)  # fmt: skip
-def test_an_error_that_lasts_for_a_quarter_second_is_answered_and_passes(call: SystemCall, code: int) -> None:
-    with platform() as world, node(world) as made:
-        assert one(world, "before") == 200 and wait_for(lambda: is_idle(made))
+                         ids=case_name)  # fmt: skip
+def test_an_error_that_lasts_for_a_quarter_second_is_answered_and_recovered_from(call: SystemCall, code: int) -> None:
+    with platform() as emulated, node(emulated) as edge_node:
+        assert status_of(emulated, "before") == 200 and wait_for(lambda: is_idle(edge_node))
         for at in (1, 4):
-            begin_anew(made)
-            faulty = Faulty(call, code, at, 1 << 30, world.listen)
+            reset_node(edge_node)
+            faulty = Faulty(call, code, at, 1 << 30, emulated.listen)
             with faults(faulty):
-                over = threading.Timer(0.25, lambda each=faulty: setattr(each, "times", 0))
-                over.start()
-                status = one(world, f"q{at}")
-                over.join()
-                judge(world, made, faulty, status, f"{call.value} {named(code)} from call {at} on")
-        begin_anew(made)
-        assert one(world, "after") == 200
-
-
-def test_the_judge_finds_an_engine_that_is_blamed_for_this_machines_want(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The negative control: want of ports taken for the engine's fault, as it was."""
-    monkeypatch.setattr("stonetrack.node.system_errors._GENERAL", {errno.EADDRNOTAVAIL: ErrorClass.PEER})
-    with platform() as world, node(world) as made:
-        faulty = Faulty(SystemCall.CONNECT, errno.EADDRNOTAVAIL, 1, 8, world.listen)
+                end_of_fault = threading.Timer(0.25, lambda each=faulty: setattr(each, "times", 0))
+                end_of_fault.start()
+                status = status_of(emulated, f"q{at}")
+                end_of_fault.join()
+                check_rules(emulated, edge_node, faulty, status, f"{call.value} {case_name(code)} from call {at} on")
+        reset_node(edge_node)
+        assert status_of(emulated, "after") == 200
+
+
+def test_the_check_finds_an_engine_blamed_for_a_lack_of_local_ports(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Negative control: a lack of local ports is classified as the engine's fault."""
+    monkeypatch.setattr("stonetrack.node.system_errors._BY_CODE", {errno.EADDRNOTAVAIL: ErrorClass.PEER})
+    with platform() as emulated, node(emulated) as edge_node:
+        faulty = Faulty(SystemCall.CONNECT, errno.EADDRNOTAVAIL, 1, 8, emulated.listen)
         with faults(faulty):
-            status = one(world, "q")
+            status = status_of(emulated, "q")
         monkeypatch.undo()
-        with pytest.raises(AssertionError, match="left out for a fault of this machine"):
-            judge(world, made, faulty, status, "control")
+        with pytest.raises(AssertionError, match="ejected for a fault of this machine"):
+            check_rules(emulated, edge_node, faulty, status, "control")
 
 
-def test_every_error_that_is_injected_stands_in_the_table() -> None:
+def test_every_injected_error_is_in_the_table() -> None:
     for call, code in CASES:
         if code != SHORT:
-            assert classify_error(call, OSError(code, "")) is not ErrorClass.DEFECT, (call, named(code))
+            assert classify_error(call, OSError(code, "")) is not ErrorClass.DEFECT, (call, case_name(code))
     assert classify_error(SystemCall.SEND, OSError(errno.EBADF, "")) is ErrorClass.DEFECT
     assert classify_error(SystemCall.ACCEPT, OSError(errno.EINVAL, "")) is ErrorClass.DEFECT
     assert classify_error(SystemCall.CONNECT, TimeoutError("timed out")) is ErrorClass.PEER
@@ -227,27 +229,27 @@
     assert classify_error(SystemCall.CONNECT, OSError(errno.ENETUNREACH, "")) is ErrorClass.LOCAL
 
 
-def test_a_call_is_made_again_while_the_machine_is_short_and_no_longer_than_its_bound() -> None:
-    tried: list[float] = []
+def test_a_call_is_retried_while_resources_are_exhausted_up_to_its_bound() -> None:
+    tried_at: list[float] = []
 
-    def never() -> None:
-        tried.append(time.monotonic())
+    def always_failing() -> None:
+        tried_at.append(time.monotonic())
         raise OSError(errno.ENOBUFS, "none")
 
     with pytest.raises(ResourceExhausted, match="send"):
-        call_with_retries(SystemCall.SEND, never)
+        call_with_retries(SystemCall.SEND, always_failing)
     assert (
-        len(tried) == sockets.MAX_TRIES
-        and tried[-1] - tried[0] >= (sockets.MAX_TRIES - 1) * sockets.RETRY_DELAY_S * 0.9
+        len(tried_at) == sockets.MAX_TRIES
+        and tried_at[-1] - tried_at[0] >= (sockets.MAX_TRIES - 1) * sockets.RETRY_DELAY_S * 0.9
     )
-    tried.clear()
+    tried_at.clear()
     with pytest.raises(ConnectionResetError):
         call_with_retries(
             SystemCall.SEND, lambda: (_ for _ in ()).throw(ConnectionResetError(errno.ECONNRESET, "reset"))
         )
 
 
-def test_a_connection_is_opened_in_place_of_an_idle_one_where_descriptors_are_short() -> None:
+def test_an_idle_connection_is_closed_for_a_new_one_when_descriptors_run_out() -> None:
     from stonetrack.engines.pool import Pool
     from stonetrack.frontend.host import listen
 
@@ -273,8 +275,8 @@
         listener.close()
 
 
-def test_a_shortage_that_idle_connections_do_not_end_is_told_within_the_time_for_connecting() -> None:
-    """All idle connections were given up one after the other, each with its tries, however long that took."""
+def test_exhaustion_that_closing_idle_connections_does_not_relieve_is_reported_within_the_connect_timeout() -> None:
+    """All idle connections were closed one after the other, each followed by retries, however long that took."""
     from stonetrack.engines.pool import Pool
     from stonetrack.frontend.host import listen
 
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -1,4 +1,4 @@
-"""Background threads: one that fails goes on and is logged, one that fails again and again ends the process."""
+"""Background threads: a failed one is restarted and logged, one that fails repeatedly ends the process."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.platform import node, platform, round_trip
 
 
-def test_a_thread_that_fails_goes_on_and_says_so() -> None:
-    said: list[str] = []
+def test_a_thread_that_fails_is_restarted_and_logged() -> None:
+    logged: list[str] = []
     runs: list[int] = []
 
     def body() -> None:
@@ -25,43 +25,43 @@
         if len(runs) < 3:
             raise ValueError("no good")
 
-    thread = threads.restarting_thread("worker", body, said.append)
+    thread = threads.restarting_thread("worker", body, logged.append)
     thread.start()
     thread.join(5.0)
-    assert len(runs) == 3 and said == ["thread worker: ValueError: no good; it goes on"] * 2
+    assert len(runs) == 3 and logged == ["thread worker: ValueError: no good; it goes on"] * 2
 
 
-def test_a_thread_that_fails_again_and_again_ends_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
-    said: list[str] = []
+def test_a_thread_that_fails_repeatedly_ends_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
+    logged: list[str] = []
     ended: list[str] = []
     monkeypatch.setattr(threads, "end_process", ended.append)
 
     def body() -> None:
         raise MemoryError
 
-    thread = threads.restarting_thread("worker", body, said.append)
+    thread = threads.restarting_thread("worker", body, logged.append)
     thread.start()
     thread.join(5.0)
-    assert len(said) == threads.MAX_FAILURES and "the process ends" in said[-1] and len(ended) == 1
+    assert len(logged) == threads.MAX_FAILURES and "the process ends" in logged[-1] and len(ended) == 1
 
 
-def test_a_timer_whose_router_failed_fires_again() -> None:
+def test_a_timer_whose_callback_failed_fires_again() -> None:
     fired: list[int] = []
-    said: list[str] = []
+    logged: list[str] = []
 
     def fire(token: int) -> None:
         fired.append(token)
         if len(fired) == 1:
             raise KeyError("a defect")
 
-    timers = Timers(fire, said.append)
+    timers = Timers(fire, logged.append)
     timers.start()
     timers.add(7, 1_000_000)
-    assert wait_for(lambda: fired == [7, 7]) and "KeyError" in said[0]
+    assert wait_for(lambda: fired == [7, 7]) and "KeyError" in logged[0]
     timers.stop()
 
 
-def test_a_release_that_fails_by_a_defect_is_owed_all_the_same() -> None:
+def test_a_release_that_raised_is_retried() -> None:
     tried: list[str] = []
 
     def release(item: Item) -> Heard:
@@ -77,30 +77,30 @@
     releasing.stop(0.0)
 
 
-def test_a_defect_in_a_request_leaves_nothing_in_the_books_and_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client was cut off without an answer, and the router counted its attempt as out for ever."""
-    with platform() as world, node(world) as made:
-        client = Client(world.listen)
+def test_a_defect_in_a_request_is_answered_and_leaves_nothing_in_the_router(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The client was disconnected without an answer, and the router counted its attempt as in flight for ever."""
+    with platform() as emulated, node(emulated) as edge_node:
+        client = Client(emulated.listen)
         assert round_trip(client, "q0")[0].status == 200
-        real = made.engines.start
+        real = edge_node.engines.start
 
-        def broken(*args: Any, **more: Any) -> Any:
+        def raising(*args: Any, **more: Any) -> Any:
             raise RuntimeError("a defect")
 
-        monkeypatch.setattr(made.engines, "start", broken)
-        assert round_trip(Client(world.listen), "q1")[0].status == 500
-        monkeypatch.setattr(made.engines, "start", real)
-        router: Any = made.core.router
-        assert wait_for(lambda: not router.requests and not made.core.open_requests)
-        assert not any(s.waiting or s.streams or s.states or s.work_out for s in router.servers.values())
-        monkeypatch.setattr(made.engines, "start", lambda *args, **more: (_ for _ in ()).throw(MemoryError()))
-        assert round_trip(Client(world.listen), "q2")[0].status == 503
-        monkeypatch.setattr(made.engines, "start", real)
-        assert round_trip(Client(world.listen), "q3")[0].status == 200 and wait_for(lambda: not router.requests)
+        monkeypatch.setattr(edge_node.engines, "start", raising)
+        assert round_trip(Client(emulated.listen), "q1")[0].status == 500
+        monkeypatch.setattr(edge_node.engines, "start", real)
+        router: Any = edge_node.core.router
+        assert wait_for(lambda: not router.requests and not edge_node.core.open_requests)
+        assert not any(s.unanswered or s.streams or s.held_states or s.pending_tokens for s in router.servers.values())
+        monkeypatch.setattr(edge_node.engines, "start", lambda *args, **more: (_ for _ in ()).throw(MemoryError()))
+        assert round_trip(Client(emulated.listen), "q2")[0].status == 503
+        monkeypatch.setattr(edge_node.engines, "start", real)
+        assert round_trip(Client(emulated.listen), "q3")[0].status == 200 and wait_for(lambda: not router.requests)
 
 
-def test_the_core_still_answers_after_its_router_failed_once() -> None:
-    class Once:
+def test_the_core_handles_events_after_its_router_raised() -> None:
+    class FailsOnce:
         def __init__(self) -> None:
             self.calls = 0
 
@@ -110,7 +110,7 @@
                 raise KeyError("a defect")
             return []
 
-    router = Once()
+    router = FailsOnce()
     core = Core(router, lambda: 0, log=lambda text: None)
     with pytest.raises(KeyError):
         core.handle_event(api.TimerFired(0))
