--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Drawn tests draw the same each time; tests in KNOWN-RED.txt may fail, and are printed.
+"""Property tests draw the same examples in each run; tests listed in KNOWN-RED.txt may fail, and are printed.
 
-A line of KNOWN-RED.txt is ``test | cause | issue``, three lines at most.  Such a test still runs.  Where it fails, the
-run passes over it and says so; where it passes, the run fails until the line is taken off, since the list then lies.
+A line of KNOWN-RED.txt is ``test | cause | issue``, with three lines at most.  Such a test still runs.  Its failure is
+reported, but does not fail the run; if it passes, the run fails until its line is removed, since the list is wrong.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
 
-MOST_KNOWN = 3
+MAX_KNOWN_RED = 3
 FILE_NAME = "KNOWN-RED.txt"
 KNOWN_KEY: pytest.StashKey[tuple[KnownRed, ...]] = pytest.StashKey()
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One test that is known to fail for a real fault."""
+    """A test that is known to fail because of a real defect."""
 
     test: str
     cause: str
@@ -30,7 +30,7 @@
 
 
 def read_known_red(path: Path) -> tuple[KnownRed, ...]:
-    """The list; empty where there is none.  Raises pytest.UsageError for one that can't be used."""
+    """The entries of the list; empty without a file.  Raises pytest.UsageError for an invalid list."""
     if not path.exists():
         return ()
     lines = [line for line in path.read_text("utf-8").splitlines() if line.strip()]
@@ -40,18 +40,18 @@
         if len(parts) != 3 or not all(parts):
             raise pytest.UsageError(f"{path}:{number}: found {line[:80]!r}; allowed: test | cause | issue")
         known.append(KnownRed(*parts))
-    if len(known) > MOST_KNOWN:
-        raise pytest.UsageError(f"{path}: found {len(known)} tests; allowed: {MOST_KNOWN} at most")
+    if len(known) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"{path}: found {len(known)} tests; allowed: {MAX_KNOWN_RED} at most")
     return tuple(known)
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list beside the settings of the run."""
+    """Read the list from pytest's root directory."""
     config.stash[KNOWN_KEY] = read_known_red(config.rootpath / FILE_NAME)
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark the listed tests; one that is not there is an error where its file was collected."""
+    """Mark the listed tests; one that does not exist is an error where its whole file was collected."""
     for known in config.stash[KNOWN_KEY]:
         found = [item for item in items if item.nodeid == known.test or item.nodeid.startswith(f"{known.test}[")]
         for item in found:
@@ -63,6 +63,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list, so that no run passes over it in silence."""
+    """Print the list, so that every run shows it."""
     for known in terminalreporter.config.stash[KNOWN_KEY]:
         terminalreporter.write_line(f"KNOWN RED {known.test}: {known.cause} ({known.issue})")
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""A node in this process, stand-ins beside it, and a plain client: what end-to-end tests share."""
+"""A node in this process, emulated engines beside it, and a simple client, for end-to-end tests."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 CHAT = "/v1/chat/completions"
 
 
-def wait_for(what: Callable[[], bool], seconds: float = 10.0) -> bool:
-    """Whether it became true in time."""
+def wait_for(condition: Callable[[], bool], seconds: float = 10.0) -> bool:
+    """Whether the condition became true within the given seconds."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
-        if what():
+        if condition():
             return True
         time.sleep(0.005)
-    return what()
+    return condition()
 
 
 def raw_settings(url: str, **more: Any) -> dict[str, Any]:
-    """Settings as JSON holds them."""
+    """Settings as a decoded JSON object."""
     extended = {"release": True, "hold": True}
     base: dict[str, Any] = {
         "name": "n",
@@ -57,7 +57,7 @@
 
 
 class RecordingLogger:
-    """A logger that keeps what it is told."""
+    """A logger that keeps its lines."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
@@ -69,7 +69,7 @@
 
 
 class Harness:
-    """One instance and its stand-ins."""
+    """One instance and its emulated engines."""
 
     def __init__(self, fleet: Fleet, settings: dict[str, Any], make_router: MakeRouter = Router) -> None:
         self.tap = Tap(None)
@@ -87,7 +87,7 @@
         return f"http://127.0.0.1:{self.port}"
 
     def fault(self, engine: str, fault: str, **more: Any) -> None:
-        """Carry out a fault in the stand-ins' thread, and wait for it."""
+        """Carry out a fault in the emulator's thread, and wait until it is in effect."""
         done = threading.Event()
 
         def go() -> None:
@@ -95,16 +95,16 @@
             done.set()
 
         self.engines.post(go)
-        assert done.wait(5.0), "the stand-ins did not answer"
+        assert done.wait(5.0), "the emulator did not answer"
 
     def seen(self, what: str, **fields: Any) -> list[dict[str, Any]]:
-        """Records of the tap."""
+        """Matching records of the traffic tap."""
         return [
             r for r in list(self.tap.records) if r["what"] == what and all(r.get(k) == v for k, v in fields.items())
         ]
 
     def requests(self, *jobs: str) -> list[dict[str, Any]]:
-        """Requests that reached an engine."""
+        """Requests of the given jobs that reached an engine."""
         return [r for r in self.seen("request") if r["job"] in jobs]
 
     def close(self) -> None:
@@ -118,7 +118,7 @@
 def harness(prefill: int = 2, decode: int = 2, mixed: int = 0, *, settings: dict[str, Any] | None = None,
         specs: tuple[Spec, ...] | None = None, make_router: MakeRouter = Router, list_delay_ms: float = 10.0,
         **spec: Any) -> Iterator[Harness]:  # fmt: skip
-    """A running rig."""
+    """A running harness."""
     engines = specs or small_fleet(prefill, decode, mixed, **{**QUICK, **spec})
     made = Harness(Fleet(engines=engines, list_delay_ms=list_delay_ms), settings or {}, make_router)
     try:
@@ -129,7 +129,7 @@
 
 
 class Client:
-    """A plain client on one connection."""
+    """A simple HTTP client on one connection."""
 
     def __init__(self, port: int, timeout: float = 15.0) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port), timeout=timeout)
@@ -146,7 +146,7 @@
         )
 
     def answer(self) -> tuple[http1.ResponseHead, bytes]:
-        """The next whole response; 1xx passed over."""
+        """The next complete response; 1xx responses are skipped."""
         head, body = None, b""
         while True:
             while self.events:
@@ -168,7 +168,7 @@
         return head, json.loads(data) if data else None
 
     def stream(self, body: Any, **more: Any) -> tuple[http1.ResponseHead, list[bytes]]:
-        """The events' data of a streamed answer."""
+        """The data of each event of a streamed answer."""
         self.send_request(body, **more)
         head, data = self.answer()
         return head, [event.data for event in sse.EventStream().feed(data)]
@@ -178,12 +178,12 @@
 
 
 def chat(text: str = "Where can I charge?", **more: Any) -> dict[str, Any]:
-    """A request's body."""
+    """Body of a chat completion request."""
     return {"model": "demo", "messages": [{"role": "user", "content": text}], **more}
 
 
 def text_of(events: list[bytes]) -> str:
-    """The text of a stream."""
+    """The text of a streamed answer."""
     parts = []
     for data in events:
         if data != b"[DONE]":
--- a/tests/router_fixture.py
+++ b/tests/router_fixture.py
@@ -1,4 +1,4 @@
-"""A hand-fed router for tests: short makers of settings and events, and a log of actions."""
+"""A router driven by hand in tests: shortcuts for settings and events, and a record of its actions."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class RouterFixture:
-    """A router, its clock, and every action so far."""
+    """A router, its clock, and all its actions so far."""
 
     def __init__(
         self, settings: api.Settings = SETTINGS, fleet: tuple[api.ServerEntry, ...] = FLEET, now: int = 100 * SECOND
@@ -45,18 +45,18 @@
         self.handle(api.ServerList(api.ListKind.SAVED, 1, fleet))
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        got = self.router.handle(self.now, event)
-        self.actions += got
-        return got
+        actions = self.router.handle(self.now, event)
+        self.actions += actions
+        return actions
 
     def advance(self, time: int) -> list[api.Action]:
-        """Let time pass in sweeps; the actions meanwhile."""
-        got: list[api.Action] = []
+        """Let ``time`` nanoseconds pass in sweeps; the actions of the router meanwhile."""
+        actions: list[api.Action] = []
         end = self.now + time
         while self.now < end:
             self.now = min(self.now + 50 * MS, end)
-            got += self.handle(api.TimerFired(0))
-        return got
+            actions += self.handle(api.TimerFired(0))
+        return actions
 
     def arrive(
         self,
@@ -93,19 +93,19 @@
     def finish_prefill(
         self, send: api.Send, attempt: int = 0, kept: int | None = None, elapsed: int = 100 * MS
     ) -> api.Send:
-        """The read succeeds, by default finding what was promised; the send to the writer that follows."""
+        """The prefill succeeds, by default with the expected number of reused tokens; the send to a decode engine."""
         if kept is None:
             request = self.router.requests[send.request]
             kept = int(request.prompt_tokens - request.prefill_tokens)
         return single(self.end_attempt(send, api.Outcome.READ, attempt, elapsed, kept_tokens=kept), api.Send)
 
     def serve(self, send: api.Send, attempt: int = 1) -> None:
-        """The answer begins and ends."""
+        """The answer starts and ends."""
         self.handle(api.FirstToken(send.request, attempt, send.server, 50 * MS))
         self.end_attempt(send, api.Outcome.SERVED, attempt, 100 * MS, finished=True)
 
     def run_request(self, name: str, **more: int) -> str:
-        """One request from arrival to its end; the reader that read it."""
+        """One request from arrival to its end; the prefill engine that it used."""
         send = single(self.arrive(name, **more), api.Send)  # type: ignore[arg-type]
         self.serve(self.finish_prefill(send))
         return send.server
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -1,4 +1,4 @@
-"""Prefill attempts that end without their engine's word: what they may yet leave is owed until that engine answers.
+"""Prefill attempts that end without their engine's answer: what they may leave is owed until that engine answers.
 
 The engines here are scripted; tests with real sockets and processes are in test_closing, test_edge_serving, test_soak.
 """
@@ -24,21 +24,21 @@
 from tests.harness import Client, wait_for
 from tests.platform import headers, node, platform
 
-WITHIN = 100 * MS  # so that a test of several releases lasts for less than a second
+RELEASE_WITHIN = 100 * MS  # short, so that a test of several releases takes less than a second
 
 
 @dataclass
 class Script:
-    """What the engines say, and what they were told."""
+    """How the engines answer, and what they were sent."""
 
-    there: bool = True  # the engine that is owed something answers
-    needed: bool = False
-    asked: list[str] = field(default_factory=list)  # requests whose engine was asked
+    reachable: bool = True  # whether the engine that is owed a release answers
+    needed: bool = False  # whether the request still needs its state
+    released_at_engine: list[str] = field(default_factory=list)  # requests released at the engine of the attempt
     released: list[str] = field(default_factory=list)  # requests released at any engine
 
-    def ask(self, engine: Engine, request: str) -> Heard:
-        self.asked.append(request)
-        return Heard.DONE if self.there else Heard.AWAY
+    def release_at(self, engine: Engine, request: str) -> Heard:
+        self.released_at_engine.append(request)
+        return Heard.DONE if self.reachable else Heard.AWAY
 
     def release(self, item: Item) -> Heard:
         self.released.append(item.request)
@@ -51,20 +51,27 @@
 
 
 @pytest.fixture
-def book(script: Script) -> Iterator[AbandonedReads]:
-    made = AbandonedReads(
-        time.monotonic_ns, WITHIN, script.release, script.ask, lambda request: script.needed, 2, print, most=4
+def abandoned(script: Script) -> Iterator[AbandonedReads]:
+    created = AbandonedReads(
+        time.monotonic_ns,
+        RELEASE_WITHIN,
+        script.release,
+        script.release_at,
+        lambda request: script.needed,
+        2,
+        print,
+        most=4,
     )
-    made.start()
-    yield made
-    made.stop()
+    created.start()
+    yield created
+    created.stop()
 
 
 @pytest.fixture
 def pairs() -> Iterator[list[tuple[socket.socket, socket.socket]]]:
-    made = [socket.socketpair() for _ in range(4)]
-    yield made
-    for pair in made:
+    created = [socket.socketpair() for _ in range(4)]
+    yield created
+    for pair in created:
         for sock in pair:
             sock.close()
 
@@ -76,132 +83,138 @@
 Pairs = list[tuple[socket.socket, socket.socket]]
 
 
-def test_a_broken_connection_is_owed_releases_of_which_its_engine_answers_one(
-    book: AbandonedReads, script: Script
+def test_a_broken_connection_is_followed_by_releases_of_which_its_engine_answers_one(
+    abandoned: AbandonedReads, script: Script
 ) -> None:
-    book.add("q", engine(), None)
-    assert wait_for(lambda: not len(book), 2.0)
-    assert script.asked == ["q"] and script.released == ["q"] * BLIND
-    assert book.counts.paid == book.counts.given_up == 1
+    abandoned.add("q", engine(), None)
+    assert wait_for(lambda: not len(abandoned), 2.0)
+    assert script.released_at_engine == ["q"] and script.released == ["q"] * BLIND
+    assert abandoned.counts.paid == abandoned.counts.given_up == 1
 
 
-def test_what_comes_on_the_connection_is_followed_by_a_release_at_once(
-    book: AbandonedReads, script: Script, pairs: Pairs
+def test_an_answer_or_end_on_the_connection_is_followed_by_a_release_at_once(
+    abandoned: AbandonedReads, script: Script, pairs: Pairs
 ) -> None:
-    for said in (b"HTTP/1.1 202 Accepted\r\n\r\n", b""):
+    for answer in (b"HTTP/1.1 202 Accepted\r\n\r\n", b""):
         ours, theirs = pairs.pop()
-        book.add("q", engine(), ours)
-        assert wait_for(lambda: len(script.asked) == 1 and len(script.released) == BLIND, 2.0)
-        time.sleep(2.5 * WITHIN / 1e9)
-        assert len(book) == 1 and len(script.released) == BLIND, "its engine has answered, its connection is silent"
+        abandoned.add("q", engine(), ours)
+        assert wait_for(lambda: len(script.released_at_engine) == 1 and len(script.released) == BLIND, 2.0)
+        time.sleep(2.5 * RELEASE_WITHIN / 1e9)
+        assert len(abandoned) == 1 and len(script.released) == BLIND, (
+            "its engine has answered, and its connection is silent"
+        )
         before = time.monotonic()
-        theirs.sendall(said) if said else theirs.close()
-        assert wait_for(lambda: len(script.asked) == 2, 1.0) and time.monotonic() - before < 0.1
-        assert wait_for(lambda: not len(book), 1.0) and ours.fileno() == -1
+        theirs.sendall(answer) if answer else theirs.close()
+        assert wait_for(lambda: len(script.released_at_engine) == 2, 1.0) and time.monotonic() - before < 0.1
+        assert wait_for(lambda: not len(abandoned), 1.0) and ours.fileno() == -1
         assert len(script.released) == BLIND + INFORMED - 1
-        script.asked.clear()
+        script.released_at_engine.clear()
         script.released.clear()
 
 
-def test_an_engine_that_is_away_is_owed_a_release_until_it_answers_one(book: AbandonedReads, script: Script) -> None:
-    script.there = False
-    book.add("q", engine(), None)
-    assert wait_for(lambda: len(script.released) == BLIND and len(script.asked) > 3, 2.0)
+def test_an_unreachable_engine_is_owed_a_release_until_it_answers_one(
+    abandoned: AbandonedReads, script: Script
+) -> None:
+    script.reachable = False
+    abandoned.add("q", engine(), None)
+    assert wait_for(lambda: len(script.released) == BLIND and len(script.released_at_engine) > 3, 2.0)
     time.sleep(0.3)
-    assert len(book) == 1 and script.released == ["q"] * BLIND, "another engine's answers prove nothing"
-    script.there, tries = True, len(script.asked)
-    assert wait_for(lambda: not len(book), 2.0)
-    assert len(script.asked) == tries + 1 and len(script.released) == BLIND + INFORMED
+    assert len(abandoned) == 1 and script.released == ["q"] * BLIND, "another engine's answers prove nothing"
+    script.reachable, tries = True, len(script.released_at_engine)
+    assert wait_for(lambda: not len(abandoned), 2.0)
+    assert len(script.released_at_engine) == tries + 1 and len(script.released) == BLIND + INFORMED
 
 
-def test_an_engine_that_was_away_is_asked_at_once_when_it_says_something(
-    book: AbandonedReads, script: Script, pairs: Pairs
+def test_an_unreachable_engine_is_sent_a_release_at_once_when_it_closes_its_connection(
+    abandoned: AbandonedReads, script: Script, pairs: Pairs
 ) -> None:
-    """Its next try would come after two seconds only: for a state that is there, too late."""
-    script.there = False
+    """The next retry would follow after two seconds, which is too late for state that is held there."""
+    script.reachable = False
     ours, theirs = pairs.pop()
-    book.add("q", engine(), ours)
-    assert wait_for(lambda: len(script.asked) >= 7, 5.0)  # pauses have doubled to over half a second
-    script.there = True
-    script.asked.clear()
+    abandoned.add("q", engine(), ours)
+    assert wait_for(lambda: len(script.released_at_engine) >= 7, 5.0)  # pauses have doubled to over half a second
+    script.reachable = True
+    script.released_at_engine.clear()
     before = time.monotonic()
     theirs.close()
-    assert wait_for(lambda: script.asked == ["q"] * 2, 1.0) and time.monotonic() - before < 0.15
-    assert wait_for(lambda: not len(book), 2.0)
+    assert wait_for(lambda: script.released_at_engine == ["q"] * 2, 1.0) and time.monotonic() - before < 0.15
+    assert wait_for(lambda: not len(abandoned), 2.0)
 
 
-def test_nothing_is_released_under_an_attempt_that_needs_it_unless_a_state_is_known_to_be_there(
-    book: AbandonedReads, script: Script, pairs: Pairs
+def test_nothing_that_an_attempt_needs_is_released_unless_state_is_known_to_be_held(
+    abandoned: AbandonedReads, script: Script, pairs: Pairs
 ) -> None:
     script.needed = True
     ours, theirs = pairs.pop()
-    book.add("q", engine(), ours)
-    book.add("p", engine(), None)
-    time.sleep(3 * WITHIN / 1e9)
-    assert not script.asked and not script.released
+    abandoned.add("q", engine(), ours)
+    abandoned.add("p", engine(), None)
+    time.sleep(3 * RELEASE_WITHIN / 1e9)
+    assert not script.released_at_engine and not script.released
     theirs.sendall(b"HTTP/1.1 202 Accepted\r\n\r\n")
     began = time.monotonic()
-    assert wait_for(lambda: script.asked == ["q"], 1.0)
-    assert 0.06 < time.monotonic() - began < 0.2, "it waited for the other attempt, and no longer than it may"
+    assert wait_for(lambda: script.released_at_engine == ["q"], 1.0)
+    assert 0.06 < time.monotonic() - began < 0.2, "it did not wait for the other attempt, or for too long"
     script.needed = False
-    assert wait_for(lambda: not len(book), 2.0) and set(script.asked) == {"q", "p"}
+    assert wait_for(lambda: not len(abandoned), 2.0) and set(script.released_at_engine) == {"q", "p"}
 
 
-def test_debts_and_connections_are_bounded_and_what_is_dropped_is_counted(
-    book: AbandonedReads, script: Script, pairs: Pairs
+def test_abandoned_attempts_and_connections_are_bounded_and_drops_are_counted(
+    abandoned: AbandonedReads, script: Script, pairs: Pairs
 ) -> None:
     script.needed = True
     for n, (ours, _) in enumerate(pairs):
-        book.add(f"q{n}", engine(), ours)
-    assert book.watched == 2 and book.counts.connections_dropped == 2 and len(book) == 4
+        abandoned.add(f"q{n}", engine(), ours)
+    assert abandoned.watched == 2 and abandoned.counts.connections_dropped == 2 and len(abandoned) == 4
     assert [ours.fileno() == -1 for ours, _ in pairs] == [True, True, False, False]
-    book.add("q4", engine(), None)
-    book.add("q5", engine(), None)
-    assert len(book) == 4 and book.counts.dropped == 2
-    book.stop()
-    assert not len(book) and pairs[3][0].fileno() == -1
+    abandoned.add("q4", engine(), None)
+    abandoned.add("q5", engine(), None)
+    assert len(abandoned) == 4 and abandoned.counts.dropped == 2
+    abandoned.stop()
+    assert not len(abandoned) and pairs[3][0].fileno() == -1
 
 
-def test_releases_of_many_engines_that_come_back_take_no_thread_of_others(book: AbandonedReads, script: Script) -> None:
-    entered, go_on = threading.Semaphore(0), threading.Event()
+def test_releases_for_many_recovered_engines_use_threads_of_their_own(
+    abandoned: AbandonedReads, script: Script
+) -> None:
+    entered, proceed = threading.Semaphore(0), threading.Event()
 
     def stuck(item: Item) -> Heard:
         entered.release()
-        go_on.wait(5.0)
+        proceed.wait(5.0)
         return Heard.DONE
 
     script.release = stuck  # type: ignore[method-assign]
-    book._release = stuck
+    abandoned._release = stuck
     for n in range(4):
-        book.add(f"q{n}", engine(f"r{n}"), None)
+        abandoned.add(f"q{n}", engine(f"r{n}"), None)
     assert entered.acquire(timeout=2.0)
     threads = [each.name for each in threading.enumerate() if each.name.startswith("releases-")]
-    go_on.set()
-    assert len(threads) == 4, "they have threads of their own, and few"
-    assert wait_for(lambda: not len(book), 3.0)
+    proceed.set()
+    assert len(threads) == 4, "the number of release threads is not bounded"
+    assert wait_for(lambda: not len(abandoned), 3.0)
 
 
 def ledger(*steps: tuple[int, Step, int, bool, Outcome | None]) -> Ledger:
-    made = Ledger("q", Effect.SAFE, 10_000 * MS, 500 * MS)
+    created = Ledger("q", Effect.SAFE, 10_000 * MS, 500 * MS)
     for at, step, attempt, is_prefill, outcome in steps:
-        made.note(Transition(at * MS, step, "e", attempt, outcome, is_prefill=is_prefill))
-    return made
+        created.note(Transition(at * MS, step, "e", attempt, outcome, is_prefill=is_prefill))
+    return created
 
 
-SENT_READ = (1, Step.SENT, 0, True, None)
-READ = (100, Step.ENDED, 0, True, Outcome.READ)
-SENT_WRITE = (101, Step.SENT, 1, False, None)
+PREFILL_SENT = (1, Step.SENT, 0, True, None)
+PREFILL_ENDED = (100, Step.ENDED, 0, True, Outcome.READ)
+DECODE_SENT = (101, Step.SENT, 1, False, None)
 
 
 @pytest.mark.parametrize(("steps", "at", "needed"), [
-    ((SENT_READ,), 9_000, True),  # a release would take what it reads
-    ((SENT_READ, READ), 101, True),
-    ((SENT_READ, READ, SENT_WRITE), 102, True),  # it may not have arrived yet
-    ((SENT_READ, READ, SENT_WRITE), 101 + ARRIVING // MS, False),  # one that has arrived keeps it
-    ((SENT_READ, READ, SENT_WRITE, (150, Step.FIRST_EVENT, 1, False, None)), 151, False),
-    ((SENT_READ, (50, Step.CLIENT_GONE, -1, False, None)), 51, False),
-    ((SENT_READ, (50, Step.ENDED, 0, True, Outcome.RESET)), 51, True),  # the next attempt is about to begin
-    ((SENT_READ, (50, Step.ENDED, 0, True, Outcome.RESET), (51, Step.ANSWERED, -1, False, None)), 52, False),
+    ((PREFILL_SENT,), 9_000, True),  # a release would take what the prefill is working on
+    ((PREFILL_SENT, PREFILL_ENDED), 101, True),
+    ((PREFILL_SENT, PREFILL_ENDED, DECODE_SENT), 102, True),  # the decode attempt may not have arrived yet
+    ((PREFILL_SENT, PREFILL_ENDED, DECODE_SENT), 101 + ARRIVING // MS, False),  # one that has arrived keeps its state
+    ((PREFILL_SENT, PREFILL_ENDED, DECODE_SENT, (150, Step.FIRST_EVENT, 1, False, None)), 151, False),
+    ((PREFILL_SENT, (50, Step.CLIENT_GONE, -1, False, None)), 51, False),
+    ((PREFILL_SENT, (50, Step.ENDED, 0, True, Outcome.RESET)), 51, True),  # the next attempt is about to begin
+    ((PREFILL_SENT, (50, Step.ENDED, 0, True, Outcome.RESET), (51, Step.ANSWERED, -1, False, None)), 52, False),
 ])  # fmt: skip
 def test_when_a_release_would_take_what_a_request_needs(
     steps: tuple[tuple[int, Step, int, bool, Outcome | None], ...], at: int, needed: bool
@@ -209,25 +222,27 @@
     assert ledger(*steps).needs_state(at * MS) is needed
 
 
-def test_a_leaving_node_waits_for_what_a_read_may_leave_as_long_as_the_page_gives() -> None:
-    """Its engine comes back 2.7 s after TERM, finishes a read that was given up, and would hold its state for good."""
-    with platform(2, 1) as world, node(world) as made:
-        world.latitude = Latitude(0, {**KINDEST, Sentence.GIVEN_UP: True, Sentence.RELEASE_INTO_READ: False})
+def test_a_stopping_node_waits_for_abandoned_prefills_as_long_as_the_page_allows() -> None:
+    """The engine recovers 2.7 s after TERM, finishes an abandoned prefill, and would hold its state for good."""
+    with platform(2, 1) as emulated, node(emulated) as edge_node:
+        emulated.latitude = Latitude(0, {**KINDEST, Sentence.GIVEN_UP: True, Sentence.RELEASE_INTO_READ: False})
         for name in ("r0", "r1"):
-            world.engines[name].trouble = Trouble.HANG_BEFORE
-        client = Client(world.listen)
+            emulated.engines[name].trouble = Trouble.HANG_BEFORE
+        client = Client(emulated.listen)
         client.send_request(b"{}", headers=headers("q"))
-        assert wait_for(lambda: any(what == "read" for what, _ in world.which("q")))
+        assert wait_for(lambda: any(what == "read" for what, _ in emulated.which("q")))
         client.close()
-        assert wait_for(lambda: len(made.abandoned) == 1)
+        assert wait_for(lambda: len(edge_node.abandoned) == 1)
         began = time.monotonic()
-        leaving = threading.Thread(target=made.drain)
-        leaving.start()
+        draining = threading.Thread(target=edge_node.drain)
+        draining.start()
         time.sleep(2.7)
         for name in ("r0", "r1"):
-            world.engines[name].trouble = None
-        leaving.join(5.0)
-        assert time.monotonic() - began < 3.0 + 0.7, "it is killed by then"
-        assert not world.held
-        with world.lock:
-            assert [stay.engine in ("r0", "r1") for stay in world.books.stays] == [True], "the read left a state"
+            emulated.engines[name].trouble = None
+        draining.join(5.0)
+        assert time.monotonic() - began < 3.0 + 0.7, "the node would have been killed by then"
+        assert not emulated.held
+        with emulated.lock:
+            assert [stay.engine in ("r0", "r1") for stay in emulated.books.stays] == [True], (
+                "the prefill did not leave exactly one state"
+            )
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -1,4 +1,4 @@
-"""Folders that fail: a full disk, an input/output error, a kill at each step of a write."""
+"""Failing directories: a full disk, an input/output error, a kill at each step of a write."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 STEPS = ("open", "write", "fsync", "replace", "folder")
 
 
-class Step:
-    """Does something at one step of a write, once."""
+class FaultAtStep:
+    """Calls a function at one step of a write, once."""
 
     def __init__(self, patched: pytest.MonkeyPatch, step: str, do: Callable[[], None]) -> None:
         self.step, self.do, self.done = step, do, False
@@ -42,7 +42,7 @@
                 return real_open(path, mode, *more, **named)
             self.at("open")
             file = real_open(path, mode, *more, **named)
-            return Writing(file, self) if self.step == "write" else file
+            return PartialWrites(file, self) if self.step == "write" else file
 
         patched.setattr(os, "fsync", fsync)
         patched.setattr(os, "replace", replace)
@@ -54,13 +54,13 @@
             self.do()
 
 
-class Writing:
-    """A file whose first write puts half of the data down and then meets its step."""
+class PartialWrites:
+    """A file whose first write stores half of the data before its fault."""
 
-    def __init__(self, file: Any, step: Step) -> None:
+    def __init__(self, file: Any, step: FaultAtStep) -> None:
         self._file, self._step = file, step
 
-    def __enter__(self) -> Writing:
+    def __enter__(self) -> PartialWrites:
         return self
 
     def __exit__(self, *error: object) -> None:
@@ -85,17 +85,17 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO], ids=["ENOSPC", "EIO"])
-def test_a_write_that_fails_leaves_the_state_before_and_no_temporary_file(
+def test_a_failed_write_keeps_the_previous_state_and_leaves_no_temporary_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str, code: int
 ) -> None:
     path = tmp_path / "state.json"
     save(path, b"before, whole")
     with monkeypatch.context() as patched:
-        at = Step(patched, step, fails(code))
+        at = FaultAtStep(patched, step, fails(code))
         with pytest.raises(OSError):
             save(path, b"after, whole too")
         assert at.done
-    # The last sync alone fails after the new state has its name; nobody was told of it.
+    # Only the last sync fails after the rename to the target; the caller gets an error all the same.
     assert path.read_bytes() == (b"after, whole too" if step == "folder" else b"before, whole")
     assert [each.name for each in tmp_path.iterdir()] == ["state.json"]
     save(path, b"the next")
@@ -103,14 +103,14 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_kill_at_each_step_leaves_one_state_whole_and_the_next_write_cleans_up(
+def test_a_kill_at_each_step_leaves_a_complete_state_and_the_next_write_cleans_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
     path = tmp_path / "state.json"
     save(path, b"before, whole")
     child = os.fork()
     if child == 0:
-        Step(monkeypatch, step, lambda: os._exit(9))
+        FaultAtStep(monkeypatch, step, lambda: os._exit(9))
         save(path, b"after, whole too")
         os._exit(1)
     assert os.waitstatus_to_exitcode(os.waitpid(child, 0)[1]) == 9
@@ -120,17 +120,17 @@
     assert path.read_bytes() == b"the next" and [each.name for each in tmp_path.iterdir()] == ["state.json"]
 
 
-def test_another_processs_write_under_way_is_left_alone(tmp_path: Path) -> None:
+def test_temporary_files_of_running_processes_are_kept(tmp_path: Path) -> None:
     path = tmp_path / "state.json"
-    under_way = tmp_path / f"state.json.{os.getppid()}.new"
-    under_way.write_bytes(b"half")
-    strange = tmp_path / "state.json.mine.new"
-    strange.write_bytes(b"")
+    in_progress = tmp_path / f"state.json.{os.getppid()}.new"
+    in_progress.write_bytes(b"half")
+    unrelated = tmp_path / "state.json.mine.new"
+    unrelated.write_bytes(b"")
     save(path, b"x")
-    assert under_way.exists() and strange.exists()
+    assert in_progress.exists() and unrelated.exists()
 
 
-def test_a_write_is_durable_with_its_name_before_it_is_over(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_write_syncs_the_file_and_then_its_directory(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     synced: list[str] = []
     real = os.fsync
 
@@ -145,9 +145,9 @@
         durable.sync_directory(tmp_path / "nowhere")
 
 
-def keeper(folder: Path, said: list[str], most_files: int = 8, file_bytes: int = 1 << 20) -> keeping.Keeper:
+def keeper(folder: Path, logged: list[str], most_files: int = 8, file_bytes: int = 1 << 20) -> keeping.Keeper:
     return keeping.Keeper(folder, "n0", "boot", lambda: 0, every=1, file_bytes=file_bytes, most_files=most_files,
-                          log=said.append)  # fmt: skip
+                          log=logged.append)  # fmt: skip
 
 
 def noted(made: keeping.Keeper, count: int, first: int = 0) -> None:
@@ -156,19 +156,19 @@
 
 
 @pytest.mark.parametrize("step", ["open", "fsync", "folder"])
-def test_an_account_whose_sync_failed_goes_on_in_another_file_and_lacks_nothing(
+def test_an_audit_log_whose_sync_failed_continues_in_another_file_without_a_gap(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
-    said: list[str] = []
-    made = keeper(tmp_path, said)
-    if step != "folder":  # the first write of all makes the file's name
+    logged: list[str] = []
+    made = keeper(tmp_path, logged)
+    if step != "folder":  # the very first write creates the file
         noted(made, 3)
         made._write(all_of=True)
     noted(made, 3, 3)
     with monkeypatch.context() as patched:
-        at = Step(patched, step, fails(errno.EIO))
+        at = FaultAtStep(patched, step, fails(errno.EIO))
         made._write(all_of=True)
-        assert at.done and made.trouble and len(said) == 1
+        assert at.done and made.trouble and len(logged) == 1
     noted(made, 3, 6)
     made._write(all_of=True)
     found = keeping.account(tmp_path, "n0")
@@ -176,10 +176,12 @@
     assert len(keeping.files(tmp_path, "n0")) == 2
 
 
-def test_an_old_file_that_can_not_be_removed_repeats_no_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The error came after the lines were on disk: they were written again under the same numbers."""
-    said: list[str] = []
-    made = keeper(tmp_path, said, most_files=2, file_bytes=1)
+def test_an_old_file_that_can_not_be_removed_causes_no_repeated_line(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The error followed after the lines were on disk, and they were written again under the same numbers."""
+    logged: list[str] = []
+    made = keeper(tmp_path, logged, most_files=2, file_bytes=1)
 
     def refused(self: Path, missing_ok: bool = False) -> None:
         raise OSError(errno.EIO, "Input/output error")
@@ -192,53 +194,53 @@
     assert found.findings == () and not made.trouble
 
 
-class _Refusing:
+class _FailingStore:
     """An LMDB store whose transactions fail at one step."""
 
     def __init__(self, store: Any, step: str) -> None:
         self._store, self._step = store, step
 
     def begin(self, write: bool = False) -> Any:
-        change = self._store.begin(write=write)
+        transaction = self._store.begin(write=write)
         if not write:
-            return change
+            return transaction
         if self._step == "begin":
-            change.abort()
+            transaction.abort()
             raise lmdb.Error("no")
-        return _Change(change, self._step)
+        return _FailingTransaction(transaction, self._step)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._store, name)
 
 
-class _Change:
-    def __init__(self, change: Any, step: str) -> None:
-        self._change, self._step = change, step
+class _FailingTransaction:
+    def __init__(self, transaction: Any, step: str) -> None:
+        self._transaction, self._step = transaction, step
 
     def put(self, *given: Any) -> None:
         if self._step == "put":
             raise lmdb.MapFullError("full")
-        self._change.put(*given)
+        self._transaction.put(*given)
 
     def commit(self) -> None:
         if self._step == "commit":
-            self._change.abort()
+            self._transaction.abort()
             raise lmdb.DiskError("No space left on device")
-        self._change.commit()
+        self._transaction.commit()
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self._change, name)
+        return getattr(self._transaction, name)
 
 
 @pytest.mark.parametrize(("step", "unknown"), [("begin", False), ("put", False), ("commit", True)])
 def test_a_register_says_nothing_was_written_only_where_that_is_certain(
     tmp_path: Path, step: str, unknown: bool
 ) -> None:
-    """An error of the commit leaves open whether the disk has it: a lease must not be taken for lost, nor for held."""
+    """A failed commit may be on disk or not: the lease must count neither as lost nor as held."""
     register = Embedded(tmp_path / "register")
     assert register.swap("k", 0, b"a") == 1
     store = register._store
-    register._store = _Refusing(store, step)  # type: ignore[assignment]
+    register._store = _FailingStore(store, step)  # type: ignore[assignment]
     with pytest.raises(RegisterError) as raised:
         register.swap("k", 1, b"b")
     assert isinstance(raised.value, Unknown) == unknown
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -1,6 +1,6 @@
-"""The five rules end to end, each with its negative control: a node made to break it, and the judge naming it.
+"""The five rules end to end, each with its negative control: a node made to break the rule, and the judge's finding.
 
-The same small trouble is played twice, once with the node as it is and once with a part of it replaced here.
+The same small fault is played twice, once with the node as it is and once with a part of it replaced here.
 """
 
 from __future__ import annotations
@@ -38,13 +38,13 @@
     return Planned(0.0, number, traffic, f"s{number}", (words,), how, behaviour, patience)
 
 
-def ask_all(node: Harness, asked: list[Planned], pause: float = 0.0) -> list[Seen]:
-    """Each request by a client of its own, begun one after the other; what all saw."""
+def send_all(node: Harness, plans: list[Planned], pause: float = 0.0) -> list[Seen]:
+    """Send each request with a client of its own, started one after the other; what the clients saw."""
     seen: list[Seen] = []
     threads = []
-    for each in asked:
-        client = Client("127.0.0.1", node.port, each.number)
-        thread = threading.Thread(target=lambda c=client, p=each: seen.append(c.run(p, 0)))
+    for plan in plans:
+        client = Client("127.0.0.1", node.port, plan.number)
+        thread = threading.Thread(target=lambda c=client, p=plan: seen.append(c.run(p, 0)))
         thread.start()
         threads.append(thread)
         time.sleep(pause)
@@ -54,12 +54,12 @@
 
 
 def judged(node: Harness, seen: list[Seen], quiet: float = 1.2, traffic: Traffic = TRAFFIC) -> Verdict:
-    """The verdict, after a while in which things must be let go of."""
+    """The verdict, after ``quiet`` seconds within which held state has to be released."""
     time.sleep(quiet)
     return Judge(seen, list(node.tap.records), [], [traffic], TERMS, time.monotonic_ns()).verdict()
 
 
-def broken(verdict: Verdict) -> set[int]:
+def broken_rules(verdict: Verdict) -> set[int]:
     return {breach.rule for breach in verdict.breaches}
 
 
@@ -73,8 +73,8 @@
         setattr(owner, name, before)
 
 
-class Meddled:
-    """A router whose events or actions are changed on the way."""
+class InterceptingRouter:
+    """A router whose events or actions are changed in between."""
 
     def __init__(self, settings: api.Settings, seed: int, event: Callable[[api.Event], api.Event] | None = None,
                  action: Callable[[api.Action], api.Action | None] | None = None) -> None:  # fmt: skip
@@ -94,15 +94,15 @@
 
 @pytest.mark.parametrize("sabotage", [False, True])
 def test_one_final_answer_and_nothing_after_it(sabotage: bool) -> None:
-    def twice(self: ChatWhole) -> None:
-        right(self)
+    def respond_twice(self: ChatWhole) -> None:
+        original(self)
         self.respond(200, b'{"again": true}')
 
-    right = ChatWhole.complete
-    with harness(1, 1) as node, swapped(ChatWhole, "complete", twice if sabotage else right):
-        seen = ask_all(node, [planned(n, how="plain") for n in range(4)])
+    original = ChatWhole.complete
+    with harness(1, 1) as node, swapped(ChatWhole, "complete", respond_twice if sabotage else original):
+        seen = send_all(node, [planned(n, how="plain") for n in range(4)])
         verdict = judged(node, seen, 0.1)
-    assert broken(verdict) == ({1} if sabotage else set()), verdict.breaches
+    assert broken_rules(verdict) == ({1} if sabotage else set()), verdict.breaches
     if sabotage:
         assert {b.request for b in verdict.breaches} <= {s.request for s in seen}
         assert "after the final answer" in verdict.breaches[0].text
@@ -110,23 +110,23 @@
 
 @pytest.mark.parametrize("sabotage", [False, True])
 def test_an_answer_in_time_though_no_engine_answers(sabotage: bool) -> None:
-    def lost(settings: api.Settings, seed: int) -> Meddled:
-        return Meddled(settings, seed, action=lambda a: None if isinstance(a, (api.Refuse, api.Fail)) else a)
+    def without_answers(settings: api.Settings, seed: int) -> InterceptingRouter:
+        return InterceptingRouter(settings, seed, action=lambda a: None if isinstance(a, (api.Refuse, api.Fail)) else a)
 
-    with harness(1, 1, make_router=lost if sabotage else Router) as node:
+    with harness(1, 1, make_router=without_answers if sabotage else Router) as node:
         node.fault("r0", "hang", for_ms=8_000)
         client = Client("127.0.0.1", node.port, 1)
-        asked = planned(1, patience=1.0)
+        plan = planned(1, patience=1.0)
         seen: list[Seen] = []
-        thread = threading.Thread(target=lambda: seen.append(client.run(asked, 0)))
+        thread = threading.Thread(target=lambda: seen.append(client.run(plan, 0)))
         thread.start()
         thread.join(3.0)
-        if not seen:  # nobody answers: the client gives up
+        if not seen:  # no answer: the client disconnects
             assert client.sock is not None
             client.sock.shutdown(2)
             thread.join(5.0)
         verdict = judged(node, seen, 0.1)
-    assert broken(verdict) == ({1} if sabotage else set()), verdict.breaches
+    assert broken_rules(verdict) == ({1} if sabotage else set()), verdict.breaches
     assert seen[0].ended == ("cut" if sabotage else "refused")
 
 
@@ -135,30 +135,30 @@
 
 @pytest.mark.parametrize("sabotage", [False, True])
 def test_attempts_never_overlap_as_the_engines_see_it(sabotage: bool) -> None:
-    def leak(self: SocketAttempt) -> None:
-        leaked.append(self._sock)  # still open: the engine works on
+    def leak_connection(self: SocketAttempt) -> None:
+        leaked.append(self._sock)  # still open: the engine goes on
         self._sock = None
 
     leaked: list[Any] = []
-    right = SocketAttempt.abort
-    with harness(2, 2) as node, swapped(SocketAttempt, "abort", leak if sabotage else right):
-        ask_all(node, [planned(n) for n in range(6)], 0.02)  # quick answers, which pay for calling off
+    original = SocketAttempt.abort
+    with harness(2, 2) as node, swapped(SocketAttempt, "abort", leak_connection if sabotage else original):
+        send_all(node, [planned(n) for n in range(6)], 0.02)  # fast answers, which fill the cancellation budget
         node.fault("r0", "hang", for_ms=6_000)
         node.fault("w0", "hang", for_ms=6_000)
-        seen = ask_all(node, [planned(n) for n in range(10, 18)], 0.02)
+        seen = send_all(node, [planned(n) for n in range(10, 18)], 0.02)
         verdict = judged(node, seen, 0.2)
     again = [a for a in verdict.counts if a == "attempts"]
-    assert again and verdict.counts["attempts"] > 2 * (6 + 8), "no attempt was called off and repeated"
-    assert broken(verdict) - {5} == ({2} if sabotage else set()), verdict.breaches
+    assert again and verdict.counts["attempts"] > 2 * (6 + 8), "no attempt was cancelled and retried"
+    assert broken_rules(verdict) - {5} == ({2} if sabotage else set()), verdict.breaches
 
 
-def test_an_unsafe_request_is_not_sent_again_after_it_may_have_run() -> None:
+def test_an_unsafe_request_is_not_retried_after_it_may_have_run() -> None:
     unsafe = replace_struct(TRAFFIC, effect="unsafe")
     more = {"classes": [{"name": "chat", "first_token_ms": 1_000, "deadline_ms": 3_000, "effect": "unsafe"}]}
     with harness(1, 2, settings=more) as node:
         for name in ("w0", "w1"):
             node.fault(name, "lost", share=1.0, for_ms=10_000)
-        seen = ask_all(node, [planned(n, traffic=unsafe) for n in range(3)], 0.05)
+        seen = send_all(node, [planned(n, traffic=unsafe) for n in range(3)], 0.05)
         verdict = judged(node, seen, traffic=unsafe)
         writes = node.requests("write")
     assert not verdict.breaches, verdict.breaches
@@ -176,13 +176,13 @@
 
 @pytest.mark.parametrize("sabotage", [False, True])
 def test_nothing_new_to_an_engine_that_drains(sabotage: bool) -> None:
-    def blind(event: api.Event) -> api.Event:
+    def hide_drains(event: api.Event) -> api.Event:
         if isinstance(event, api.ServerList):
             return replace(event, entries=tuple(replace(e, state=api.ServerState.UP) for e in event.entries))
         return event
 
-    def make(settings: api.Settings, seed: int) -> Meddled:
-        return Meddled(settings, seed, event=blind)
+    def make(settings: api.Settings, seed: int) -> InterceptingRouter:
+        return InterceptingRouter(settings, seed, event=hide_drains)
 
     with harness(1, 2, make_router=make if sabotage else Router) as node:
         if sabotage:
@@ -190,57 +190,60 @@
         node.fault("w0", "leave", notice_ms=2_500, down_ms=5_000)
         assert wait_for(lambda: any("w0" in r["leaving"] for r in node.seen("told")))
         time.sleep(0.35)
-        seen = ask_all(node, [planned(n) for n in range(8)], 0.02)
+        seen = send_all(node, [planned(n) for n in range(8)], 0.02)
         verdict = judged(node, seen, 0.1)
-    assert broken(verdict) == ({3} if sabotage else set()), verdict.breaches
+    assert broken_rules(verdict) == ({3} if sabotage else set()), verdict.breaches
     if sabotage:
         assert all("w0" in b.text for b in verdict.breaches)
 
 
-def test_a_drain_told_while_connecting_takes_the_send_back() -> None:
+def test_a_drain_announced_while_connecting_stops_the_send() -> None:
     with harness(1, 2) as node:
         core: Core = node.node.core
-        asked: list[str] = []
+        checked: list[str] = []
 
         def may_send(server: str) -> bool:
-            asked.append(server)
-            return not (server == "w0" and asked.count("w0") % 2 == 0)  # told between connecting and writing
+            checked.append(server)
+            return not (server == "w0" and checked.count("w0") % 2 == 0)  # announced between connecting and writing
 
         core.may_send = may_send  # type: ignore[method-assign]
-        seen = ask_all(node, [planned(n) for n in range(6)], 0.05)
+        seen = send_all(node, [planned(n) for n in range(6)], 0.05)
         assert {s.ended for s in seen} <= {"served", "refused"}
-        assert asked.count("w0") >= 2 and not [r for r in node.requests("write") if r["engine"] == "w0"]
+        assert checked.count("w0") >= 2 and not [r for r in node.requests("write") if r["engine"] == "w0"]
 
 
 # Rule 4.
 
 
 @pytest.mark.parametrize("sabotage", [False, True])
-def test_a_cold_engine_is_not_pushed_over(sabotage: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Which requests go to a cold engine hangs on their ids alone, so these are the same in every run: r0 gets five of
-    them within one window, where random ids give four in the middle, and seven or more once in fourteen runs."""
+def test_an_engine_in_slow_start_is_not_overloaded(sabotage: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Which requests go to an engine in slow start depends only on their ids, so the ids are the same in every run.
+
+    r0 gets five of them within one window, where random ids give four in the median, and seven or more once in fourteen
+    runs.
+    """
     count = itertools.count(400)
     monkeypatch.setattr(chat, "new_id", lambda prefix: f"{prefix}{next(count):024x}")
 
-    def warm(event: api.Event) -> api.Event:
+    def hide_starts(event: api.Event) -> api.Event:
         if isinstance(event, api.ServerList):
             return replace(event, entries=tuple(replace(e, started=0) for e in event.entries))
         return event
 
-    def make(settings: api.Settings, seed: int) -> Meddled:
-        return Meddled(settings, seed, event=warm)
+    def make(settings: api.Settings, seed: int) -> InterceptingRouter:
+        return InterceptingRouter(settings, seed, event=hide_starts)
 
-    cold: dict[str, Any] = {"warm_ms": 30_000.0, "cold_window_ms": 600.0, "cold_multiple": 1.5, "cold_share": 0.2}
-    # A little over what the two readers can do when warm is asked; the module leaves a cold one 0.075 of it.
-    fleet = small_fleet(2, 2, **{**QUICK, **cold, "read_rate": 2_100.0})
+    slow_start: dict[str, Any] = {"warm_ms": 30_000.0, "cold_window_ms": 600.0, "cold_multiple": 1.5, "cold_share": 0.2}
+    # The load is a little above the capacity of both prefill engines when warm; the router gives a cold one 0.075.
+    fleet = small_fleet(2, 2, **{**QUICK, **slow_start, "read_rate": 2_100.0})
     routing = {"routing": {"warm_within_ms": 30_000, "cold_window_ms": 600, "cold_share": 0.2, "cold_multiple": 1.5}}
     with harness(specs=fleet, settings=routing, make_router=make if sabotage else Router) as node:
         node.fault("r0", "crash", down_ms=100)
         assert wait_for(lambda: len(node.seen("up", engine="r0")) == 2)
         time.sleep(0.7)
-        seen = ask_all(node, [planned(n, patience=2.0) for n in range(60)], 0.015)
+        seen = send_all(node, [planned(n, patience=2.0) for n in range(60)], 0.015)
         verdict = judged(node, seen, 0.2)
-    assert (4 in broken(verdict)) == sabotage, (verdict.breaches, verdict.margins)
+    assert (4 in broken_rules(verdict)) == sabotage, (verdict.breaches, verdict.margins)
     if sabotage:
         assert any("r0" in b.text for b in verdict.breaches if b.rule == 4)
 
@@ -250,12 +253,12 @@
 
 @pytest.mark.parametrize("sabotage", [False, True])
 @pytest.mark.parametrize("unreachable", [False, True])
-def test_a_read_state_is_let_go_of_when_its_request_ends(sabotage: bool, unreachable: bool) -> None:
-    right = BackgroundCalls.release
-    with harness(1, 1) as node, swapped(BackgroundCalls, "release", lambda *_: None if sabotage else right):
+def test_held_state_is_released_when_its_request_ends(sabotage: bool, unreachable: bool) -> None:
+    original = BackgroundCalls.release
+    with harness(1, 1) as node, swapped(BackgroundCalls, "release", lambda *_: None if sabotage else original):
         if not sabotage:
-            BackgroundCalls.release = right  # type: ignore[method-assign]
-        # The state is read, then its writer holds it up until the client leaves.
+            BackgroundCalls.release = original  # type: ignore[method-assign]
+        # The prefill finishes, then its decode engine hangs until the client disconnects.
         node.fault("w0", "hang", for_ms=6_000)
         seen: list[Seen] = []
         client = Client("127.0.0.1", node.port, 7)
@@ -265,10 +268,10 @@
         if unreachable:
             node.fault("r0", "hang", for_ms=300)
         assert client.sock is not None
-        client.sock.shutdown(2)  # the client leaves
+        client.sock.shutdown(2)  # the client disconnects
         thread.join(10.0)
         seen[0].ended = "left"
         verdict = judged(node, seen, 2.0)
-    assert broken(verdict) == ({5} if sabotage else set()), verdict.breaches
+    assert broken_rules(verdict) == ({5} if sabotage else set()), verdict.breaches
     if sabotage:
         assert all(b.request.startswith("chatcmpl-") for b in verdict.breaches)
