--- a/stonetrack/clocks.py
+++ b/stonetrack/clocks.py
@@ -3,7 +3,7 @@
 Every duration (deadlines, windows, waits, leases, idle times, back-offs) runs on the monotonic clock,
 ``time.monotonic``.  The wall clock may be stepped by an hour in either direction at any moment.  It is read for
 timestamps in records, and once at the start of a process for :func:`node_clock`, since server lists give the start
-times of engines as Unix time (``engines/starts.py`` says how far these are trusted).
+times of engines as Unix time (``engines/start_times.py`` says how far these are trusted).
 """
 
 from __future__ import annotations
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -14,9 +14,9 @@
 import pytest
 
 from stonetrack.api import Effect, Outcome, Role
-from stonetrack.edge.abandoned import BLIND, INFORMED, AbandonedReads
-from stonetrack.edge.hosts import Engine
-from stonetrack.engines.releases import Heard, Item
+from stonetrack.edge.abandoned import CONFIRMED_RELEASES, UNCONFIRMED_RELEASES, AbandonedPrefills
+from stonetrack.edge.engine_table import Engine
+from stonetrack.engines.release_queue import PendingRelease, ReleaseResult
 from stonetrack.node.invariants import ARRIVING, MS, Ledger
 from stonetrack.node.transitions import Step, Transition
 from stonetrack.soak.latitude import KINDEST, Latitude, Sentence
@@ -36,13 +36,13 @@
     released_at_engine: list[str] = field(default_factory=list)  # requests released at the engine of the attempt
     released: list[str] = field(default_factory=list)  # requests released at any engine
 
-    def release_at(self, engine: Engine, request: str) -> Heard:
+    def release_at(self, engine: Engine, request: str) -> ReleaseResult:
         self.released_at_engine.append(request)
-        return Heard.DONE if self.reachable else Heard.AWAY
+        return ReleaseResult.DONE if self.reachable else ReleaseResult.UNREACHABLE
 
-    def release(self, item: Item) -> Heard:
+    def release(self, item: PendingRelease) -> ReleaseResult:
         self.released.append(item.request)
-        return Heard.DONE
+        return ReleaseResult.DONE
 
 
 @pytest.fixture
@@ -51,8 +51,8 @@
 
 
 @pytest.fixture
-def abandoned(script: Script) -> Iterator[AbandonedReads]:
-    created = AbandonedReads(
+def abandoned(script: Script) -> Iterator[AbandonedPrefills]:
+    created = AbandonedPrefills(
         time.monotonic_ns,
         RELEASE_WITHIN,
         script.release,
@@ -60,7 +60,7 @@
         lambda request: script.needed,
         2,
         print,
-        most=4,
+        max_attempts=4,
     )
     created.start()
     yield created
@@ -84,49 +84,56 @@
 
 
 def test_a_broken_connection_is_followed_by_releases_of_which_its_engine_answers_one(
-    abandoned: AbandonedReads, script: Script
+    abandoned: AbandonedPrefills, script: Script
 ) -> None:
     abandoned.add("q", engine(), None)
     assert wait_for(lambda: not len(abandoned), 2.0)
-    assert script.released_at_engine == ["q"] and script.released == ["q"] * BLIND
+    assert script.released_at_engine == ["q"] and script.released == ["q"] * UNCONFIRMED_RELEASES
     assert abandoned.counts.paid == abandoned.counts.given_up == 1
 
 
 def test_an_answer_or_end_on_the_connection_is_followed_by_a_release_at_once(
-    abandoned: AbandonedReads, script: Script, pairs: Pairs
+    abandoned: AbandonedPrefills, script: Script, pairs: Pairs
 ) -> None:
     for answer in (b"HTTP/1.1 202 Accepted\r\n\r\n", b""):
         ours, theirs = pairs.pop()
         abandoned.add("q", engine(), ours)
-        assert wait_for(lambda: len(script.released_at_engine) == 1 and len(script.released) == BLIND, 2.0)
+        assert wait_for(
+            lambda: len(script.released_at_engine) == 1 and len(script.released) == UNCONFIRMED_RELEASES, 2.0
+        )
         time.sleep(2.5 * RELEASE_WITHIN / 1e9)
-        assert len(abandoned) == 1 and len(script.released) == BLIND, (
+        assert len(abandoned) == 1 and len(script.released) == UNCONFIRMED_RELEASES, (
             "its engine has answered, and its connection is silent"
         )
         before = time.monotonic()
         theirs.sendall(answer) if answer else theirs.close()
         assert wait_for(lambda: len(script.released_at_engine) == 2, 1.0) and time.monotonic() - before < 0.1
         assert wait_for(lambda: not len(abandoned), 1.0) and ours.fileno() == -1
-        assert len(script.released) == BLIND + INFORMED - 1
+        assert len(script.released) == UNCONFIRMED_RELEASES + CONFIRMED_RELEASES - 1
         script.released_at_engine.clear()
         script.released.clear()
 
 
 def test_an_unreachable_engine_is_owed_a_release_until_it_answers_one(
-    abandoned: AbandonedReads, script: Script
+    abandoned: AbandonedPrefills, script: Script
 ) -> None:
     script.reachable = False
     abandoned.add("q", engine(), None)
-    assert wait_for(lambda: len(script.released) == BLIND and len(script.released_at_engine) > 3, 2.0)
+    assert wait_for(lambda: len(script.released) == UNCONFIRMED_RELEASES and len(script.released_at_engine) > 3, 2.0)
     time.sleep(0.3)
-    assert len(abandoned) == 1 and script.released == ["q"] * BLIND, "another engine's answers prove nothing"
+    assert len(abandoned) == 1 and script.released == ["q"] * UNCONFIRMED_RELEASES, (
+        "another engine's answers prove nothing"
+    )
     script.reachable, tries = True, len(script.released_at_engine)
     assert wait_for(lambda: not len(abandoned), 2.0)
-    assert len(script.released_at_engine) == tries + 1 and len(script.released) == BLIND + INFORMED
+    assert (
+        len(script.released_at_engine) == tries + 1
+        and len(script.released) == UNCONFIRMED_RELEASES + CONFIRMED_RELEASES
+    )
 
 
 def test_an_unreachable_engine_is_sent_a_release_at_once_when_it_closes_its_connection(
-    abandoned: AbandonedReads, script: Script, pairs: Pairs
+    abandoned: AbandonedPrefills, script: Script, pairs: Pairs
 ) -> None:
     """The next retry would follow after two seconds, which is too late for state that is held there."""
     script.reachable = False
@@ -142,7 +149,7 @@
 
 
 def test_nothing_that_an_attempt_needs_is_released_unless_state_is_known_to_be_held(
-    abandoned: AbandonedReads, script: Script, pairs: Pairs
+    abandoned: AbandonedPrefills, script: Script, pairs: Pairs
 ) -> None:
     script.needed = True
     ours, theirs = pairs.pop()
@@ -159,12 +166,12 @@
 
 
 def test_abandoned_attempts_and_connections_are_bounded_and_drops_are_counted(
-    abandoned: AbandonedReads, script: Script, pairs: Pairs
+    abandoned: AbandonedPrefills, script: Script, pairs: Pairs
 ) -> None:
     script.needed = True
     for n, (ours, _) in enumerate(pairs):
         abandoned.add(f"q{n}", engine(), ours)
-    assert abandoned.watched == 2 and abandoned.counts.connections_dropped == 2 and len(abandoned) == 4
+    assert abandoned.watched_connections == 2 and abandoned.counts.connections_dropped == 2 and len(abandoned) == 4
     assert [ours.fileno() == -1 for ours, _ in pairs] == [True, True, False, False]
     abandoned.add("q4", engine(), None)
     abandoned.add("q5", engine(), None)
@@ -174,17 +181,17 @@
 
 
 def test_releases_for_many_recovered_engines_use_threads_of_their_own(
-    abandoned: AbandonedReads, script: Script
+    abandoned: AbandonedPrefills, script: Script
 ) -> None:
     entered, proceed = threading.Semaphore(0), threading.Event()
 
-    def stuck(item: Item) -> Heard:
+    def stuck(item: PendingRelease) -> ReleaseResult:
         entered.release()
         proceed.wait(5.0)
-        return Heard.DONE
+        return ReleaseResult.DONE
 
     script.release = stuck  # type: ignore[method-assign]
-    abandoned._release = stuck
+    abandoned._release_any = stuck
     for n in range(4):
         abandoned.add(f"q{n}", engine(f"r{n}"), None)
     assert entered.acquire(timeout=2.0)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from stonetrack.frontend.connection import Connection, HostState, Request
-from stonetrack.frontend.host import Host, listen, plain
+from stonetrack.frontend.connection import Connection, HostState, HttpRequest
+from stonetrack.frontend.host import Host, listen, plain_response
 from stonetrack.node import sockets
 from stonetrack.node.request_runner import Waker
 from stonetrack.node.sockets import System
@@ -40,13 +40,13 @@
         self.wait.set()
         self.host = Host(
             self.listener, Limits(**limits), Timing(idle_ms=60_000), self.handle,
-            lambda status, why: plain(status, why.encode(), keep=False), self.logged.append)  # fmt: skip
+            lambda status, why: plain_response(status, why.encode(), keep=False), self.logged.append)  # fmt: skip
 
-    def handle(self, connection: Connection, request: Request, waker: Waker) -> bool:
+    def handle(self, connection: Connection, request: HttpRequest, waker: Waker) -> bool:
         self.paths.append(request.head.path)
         self.wait.wait(5.0)
-        keep = request.head.keep_alive and not connection.last
-        connection.write(plain(200, request.head.path.encode(), keep=keep))
+        keep = request.head.keep_alive and not connection.closes_after_response
+        connection.write(plain_response(200, request.head.path.encode(), keep=keep))
         return keep
 
 
@@ -77,7 +77,7 @@
         bare.wait.clear()
         client.send(GET % 1 + GET % 2 + GET % 3)
         assert wait_for(lambda: bare.paths == ["/1"])
-        bare.host.leave()
+        bare.host.close_after_responses()
         bare.host.drain()
         bare.wait.set()
         answers = [client.answer() for _ in range(3)]
@@ -96,7 +96,7 @@
         bare.wait.set()
         assert client.answer()[1] == b"/1" and bare.host.busy
         time.sleep(0.05)
-        assert not bare.host.seal()
+        assert not bare.host.stop_reading_if_idle()
         client.send((GET % 2)[10:])
         assert client.answer()[1] == b"/2"
         assert wait_for(lambda: not bare.host.busy)
@@ -149,10 +149,10 @@
         bare.wait.clear()
         client.send(GET % 2)
         assert wait_for(lambda: len(bare.paths) == 2)
-        assert bare.host.busy and not bare.host.seal()
+        assert bare.host.busy and not bare.host.stop_reading_if_idle()
         bare.wait.set()
         assert client.answer()[1] == b"/2"
-        assert wait_for(bare.host.seal)
+        assert wait_for(bare.host.stop_reading_if_idle)
         client.send(GET % 3)
         time.sleep(0.4)
         assert len(bare.paths) == 2
@@ -165,7 +165,7 @@
         entered, proceed = threading.Event(), threading.Event()
         real = bare.host._hand_over
 
-        def slowly(connection: Connection, request: Request) -> None:
+        def slowly(connection: Connection, request: HttpRequest) -> None:
             entered.set()
             proceed.wait(5.0)
             real(connection, request)
@@ -174,7 +174,7 @@
         client = Client(bare.port)
         client.send(GET % 1)
         assert entered.wait(5.0)
-        busy, sealed = bare.host.busy, bare.host.seal()
+        busy, sealed = bare.host.busy, bare.host.stop_reading_if_idle()
         proceed.set()
         assert busy and not sealed and client.answer()[1] == b"/1"
 
@@ -200,7 +200,7 @@
     bare.host._spare = None
     bare.host._parking.start()
     with system(Failing()):
-        bare.host.drain(sweep=True)
+        bare.host.drain(accept_queued=True)
     for n, client in enumerate(clients):
         head, body = client.answer()
         assert (head.status, body) == (200, b"/%d" % n) or head.status == 503
@@ -216,7 +216,7 @@
     bare.host._parking.start()
     began = time.monotonic()
     with system(Full()):
-        bare.host.drain(sweep=True)
+        bare.host.drain(accept_queued=True)
     assert time.monotonic() - began < 1.5
     bare.host.stop()
 
@@ -238,12 +238,12 @@
 
 
 def test_out_of_memory_while_a_request_is_read_is_answered_with_503(monkeypatch: pytest.MonkeyPatch) -> None:
-    def out_of_memory(self: Connection, data: bytes) -> Request | None:
+    def out_of_memory(self: Connection, data: bytes) -> HttpRequest | None:
         raise MemoryError
 
     with bare_host() as bare:
         with monkeypatch.context() as patched:
-            patched.setattr(Connection, "take", out_of_memory)
+            patched.setattr(Connection, "feed", out_of_memory)
             client = Client(bare.port)
             client.send(GET % 1)
             assert client.answer()[0].status == 503
@@ -269,16 +269,16 @@
 def test_a_list_that_can_not_be_decoded_is_requested_again(capfd: pytest.CaptureFixture[str]) -> None:
     """Such a list was skipped and the version of the next one adopted, so that its changes were lost for good."""
     with platform() as emulated, node(emulated) as edge_node:
-        assert wait_for(lambda: edge_node.hosts.rev == 1 and len(emulated.discovery.asked) == 1)
+        assert wait_for(lambda: edge_node.engine_table.rev == 1 and len(emulated.discovery.asked) == 1)
         real_document = emulated.document
         broken = b'{"rev": 2, "all": false, "targets": [{"uid": 7}]}'
         emulated.document = lambda node=0: broken  # type: ignore[method-assign]
         emulated.change("w0", "DRAINING")
         assert wait_for(lambda: len(emulated.discovery.asked) > 3)
-        assert edge_node.hosts.rev == 1 and edge_node.hosts.engines["w0"].up
+        assert edge_node.engine_table.rev == 1 and edge_node.engine_table.engines["w0"].up
         assert all(target.endswith("&after=1") for target in emulated.discovery.asked[1:])
         emulated.document = real_document  # type: ignore[method-assign]
-        assert wait_for(lambda: not edge_node.hosts.engines["w0"].up)
+        assert wait_for(lambda: not edge_node.engine_table.engines["w0"].up)
     logged = [line for line in capfd.readouterr().err.splitlines() if "Expected `str`" in line]
     assert len(logged) == 1, logged  # once, not at every retry
 
--- a/tests/test_rules_on_sockets.py
+++ b/tests/test_rules_on_sockets.py
@@ -223,7 +223,7 @@
     runs.
     """
     count = itertools.count(400)
-    monkeypatch.setattr(chat, "new_id", lambda prefix: f"{prefix}{next(count):024x}")
+    monkeypatch.setattr(chat, "new_request_id", lambda prefix: f"{prefix}{next(count):024x}")
 
     def hide_starts(event: api.Event) -> api.Event:
         if isinstance(event, api.ServerList):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -156,11 +156,11 @@
 
 def reset_node(edge_node: EdgeNode) -> None:
     """Drop pooled connections and ejections, so that each request opens connections, to any engine."""
-    edge_node.pool.forget(set())
-    edge_node.pool.rest._failed.clear()
+    edge_node.pool.retain(set())
+    edge_node.pool.reuse_delay._failed.clear()
     for server in edge_node.core.router.servers.values():  # type: ignore[attr-defined]
         server.ejections.clear()
-    edge_node.calls.suspects.clear()
+    edge_node.calls.suspect_until.clear()
 
 
 @pytest.mark.parametrize(("call", "code"), CASES, ids=case_name)
@@ -250,25 +250,25 @@
 
 
 def test_an_idle_connection_is_closed_for_a_new_one_when_descriptors_run_out() -> None:
-    from stonetrack.engines.pool import Pool
+    from stonetrack.engines.pool import ConnectionPool
     from stonetrack.frontend.host import listen
 
     listener = listen("127.0.0.1", 0, 8)
     port = listener.getsockname()[1]
-    pool = Pool(8, 10.0)
-    first, _ = pool.take("127.0.0.1", port, 1.0)
-    pool.give("127.0.0.1", port, first)
+    pool = ConnectionPool(8, 10.0)
+    first, _ = pool.acquire("127.0.0.1", port, 1.0)
+    pool.put_back("127.0.0.1", port, first)
 
     class Full(System):
         def create_socket(self, family: int) -> socket.socket:
-            if pool.kept("127.0.0.1", port):
+            if pool.idle_count("127.0.0.1", port):
                 raise OSError(errno.EMFILE, "Too many open files")
             return super().create_socket(family)
 
     real, sockets.SYSTEM = sockets.SYSTEM, Full()
     try:
         other = pool._open("127.0.0.1", port, 1.0)
-        assert other.fileno() >= 0 and pool.kept("127.0.0.1", port) == 0
+        assert other.fileno() >= 0 and pool.idle_count("127.0.0.1", port) == 0
         other.close()
     finally:
         sockets.SYSTEM = real
@@ -277,7 +277,7 @@
 
 def test_exhaustion_that_closing_idle_connections_does_not_relieve_is_reported_within_the_connect_timeout() -> None:
     """All idle connections were closed one after the other, each followed by retries, however long that took."""
-    from stonetrack.engines.pool import Pool
+    from stonetrack.engines.pool import ConnectionPool
     from stonetrack.frontend.host import listen
 
     class NoRoute(System):
@@ -286,12 +286,12 @@
 
     listener = listen("127.0.0.1", 0, 64)
     port = listener.getsockname()[1]
-    pool = Pool(40, 10.0)
-    for sock in [pool.take("127.0.0.1", port, 1.0)[0] for _ in range(40)]:
-        pool.give("127.0.0.1", port, sock)
+    pool = ConnectionPool(40, 10.0)
+    for sock in [pool.acquire("127.0.0.1", port, 1.0)[0] for _ in range(40)]:
+        pool.put_back("127.0.0.1", port, sock)
     began = time.monotonic()
     with faults(NoRoute()), pytest.raises(ResourceExhausted):
         pool._open("127.0.0.1", port, 0.05)
-    assert time.monotonic() - began < 0.3 and pool.kept("127.0.0.1", port) > 20
+    assert time.monotonic() - began < 0.3 and pool.idle_count("127.0.0.1", port) > 20
     pool.close()
     listener.close()
