--- a/stonetrack/frontend/answers.py
+++ b/stonetrack/frontend/answers.py
@@ -20,8 +20,8 @@
 
     __slots__ = ("_head", "_include_usage", "_choices_with_role", "usage")
 
-    def __init__(self, request: str, model: str, created: int, include_usage: bool) -> None:
-        self._head = {"id": request, "object": "chat.completion.chunk", "created": created, "model": model}
+    def __init__(self, request_id: str, model: str, created: int, include_usage: bool) -> None:
+        self._head = {"id": request_id, "object": "chat.completion.chunk", "created": created, "model": model}
         self._include_usage = include_usage
         self._choices_with_role: set[int] = set()
         self.usage: dict[str, Any] | None = None
@@ -63,8 +63,8 @@
 
     __slots__ = ("_choices", "_extra", "_head", "size", "usage")
 
-    def __init__(self, request: str, model: str, created: int) -> None:
-        self._head = {"id": request, "object": "chat.completion", "created": created, "model": model}
+    def __init__(self, request_id: str, model: str, created: int) -> None:
+        self._head = {"id": request_id, "object": "chat.completion", "created": created, "model": model}
         self._choices: dict[int, dict[str, Any]] = {}
         self._extra: dict[str, Any] = {}
         self.usage: dict[str, Any] | None = None
@@ -137,10 +137,10 @@
         return {**self._head, **self._extra, "choices": choices, "usage": self.usage}
 
 
-def _merge_logprobs(merged: dict[str, Any] | None, more: dict[str, Any]) -> dict[str, Any]:
+def _merge_logprobs(merged: dict[str, Any] | None, added: dict[str, Any]) -> dict[str, Any]:
     if merged is None:
-        return {k: list(v) if isinstance(v, list) else v for k, v in more.items()}
-    for name, value in more.items():
+        return {k: list(v) if isinstance(v, list) else v for k, v in added.items()}
+    for name, value in added.items():
         if isinstance(value, list) and isinstance(merged.get(name), list):
             merged[name].extend(value)
         elif value is not None:
--- a/stonetrack/frontend/connection.py
+++ b/stonetrack/frontend/connection.py
@@ -51,7 +51,7 @@
         "parked_at",
         "pending",
         "reader",
-        "served",
+        "requests_read",
         "sock",
         "state",
     )
@@ -59,7 +59,7 @@
     def __init__(self, sock: socket.socket, limits: http1.Limits, state: HostState) -> None:
         self.sock = sock
         self.state = state
-        self.served = 0  # whole requests read
+        self.requests_read = 0
         self.response_started = False  # a byte of the response to the last request was written
         self.corked = False
         self.linger_until = 0  # monotonic ns: after the last response, input is discarded until then
@@ -74,11 +74,11 @@
         self._body: list[bytes] = []
 
     def fileno(self) -> int:
-        """The socket's descriptor, -1 once closed."""
+        """Return the socket's descriptor, -1 once closed."""
         return -1 if self.closed else self.sock.fileno()
 
     def feed(self, data: bytes) -> HttpRequest | None:
-        """Feed received bytes; return the request that they complete, if any.  Raises ProtocolError."""
+        """Feed received bytes; return a completed request, if any.  Raises ProtocolError or ClientDisconnected."""
         now = time.monotonic_ns()
         if data and not self.request_started_at:
             self.request_started_at = now
@@ -93,7 +93,7 @@
             elif isinstance(event, http1.End) and self._head is not None:
                 request = HttpRequest(self._head, b"".join(self._body), self._head_read_at)
                 self._head, self._body, self.request_started_at, self.partial_body_bytes = None, [], 0, 0
-                self.served += 1
+                self.requests_read += 1
                 self.response_started = False
                 return request
         if not self.reader.idle and not self.request_started_at:
--- a/stonetrack/frontend/host.py
+++ b/stonetrack/frontend/host.py
@@ -92,8 +92,8 @@
         self.state = HostState()
         self._moving_connections = False  # the parking thread is reading or moving connections between its collections
         self._reading_stopped = False
-        self._idle_closed = False  # connections that were idle when closing after responses began
-        self._waker_descriptors = 0  # workers that have one
+        self._idle_closed = False  # :meth:`_close_idle` ran after closing began
+        self._waker_descriptors = 0  # number of workers that have one
         self._spare: int | None = None
         self._descriptors_logged_at = 0.0  # monotonic seconds
         self._accept_thread = restarting_thread("accept", self._accept_loop, log)
@@ -137,8 +137,8 @@
         Without a free descriptor accept(2) does not tell whether the queue is empty, so the time is bounded.
         """
         self.listener.setblocking(False)
-        end = time.monotonic() + _ACCEPT_QUEUED_S
-        while time.monotonic() < end:
+        deadline = time.monotonic() + _ACCEPT_QUEUED_S
+        while time.monotonic() < deadline:
             try:
                 self._admit(sockets.accept(self.listener))
             except InterruptedError:
@@ -161,7 +161,7 @@
         """Implement :attr:`busy`; the caller holds the lock."""
         if self._moving_connections or self._idle_workers < self.workers or self._to_park:
             return True
-        return any(each.request_started_at or not each.served for each in list(self._parked.values()))
+        return any(each.request_started_at or not each.requests_read for each in list(self._parked.values()))
 
     def stop_reading_if_idle(self) -> bool:
         """Stop reading from clients unless busy; return whether reading is stopped.
@@ -300,14 +300,14 @@
             self._log(f"client connection can't be added to epoll: {error}")
             self._respond_and_close(connection, 503, "this instance is short of means")
             return
-        idle = connection.served and connection.reader.idle and not connection.linger_until
+        idle = connection.requests_read and connection.reader.idle and not connection.linger_until
         if self.state.draining and idle:
             self._close_if_idle(connection)
 
     def _close_idle(self) -> None:
         """Close connections parked between two requests; a request that has arrived unread is read first."""
         for connection in [
-            c for c in self._parked.values() if c.served and not c.request_started_at and not c.linger_until
+            c for c in self._parked.values() if c.requests_read and not c.request_started_at and not c.linger_until
         ]:
             if sockets.readable(connection.sock):
                 self._run_step(self._read_parked, connection)
@@ -322,13 +322,15 @@
         """
         now = time.monotonic_ns()
         oldest = list(itertools.islice(self._parked.values(), _MAX_EXAMINED))
-        silent = [c for c in oldest if not c.served and not c.request_started_at and now - c.parked_at > _SILENT_NS]
-        over = [c for c in oldest if c.linger_until]
+        silent = [
+            c for c in oldest if not c.requests_read and not c.request_started_at and now - c.parked_at > _SILENT_NS
+        ]
+        lingering = [c for c in oldest if c.linger_until]
         slow = [
             c for c in oldest if c.request_started_at and not c.linger_until and now - c.request_started_at > _SLOW_NS
         ]
-        idle = [c for c in oldest if c.served and not c.request_started_at and now - c.parked_at > _SILENT_NS]
-        for connection in (*silent, *over, *slow, *idle):
+        idle = [c for c in oldest if c.requests_read and not c.request_started_at and now - c.parked_at > _SILENT_NS]
+        for connection in (*silent, *lingering, *slow, *idle):
             if self.connections < _CROWDED_SHARE * self.limits.connections:
                 return
             if not connection.linger_until and sockets.readable(connection.sock):
@@ -470,8 +472,8 @@
                 if now > connection.linger_until:
                     self._close_answered(connection)
             elif connection.request_started_at:
-                most = timing.body_ms if connection.awaits_body else timing.header_ms
-                if now - connection.request_started_at > most * 1_000_000:
+                limit_ms = timing.body_ms if connection.awaits_body else timing.header_ms
+                if now - connection.request_started_at > limit_ms * 1_000_000:
                     self._reject_and_linger(connection, 408, "the request did not come in time")
             elif now - connection.parked_at > (
                 _DRAIN_FIRST_REQUEST_NS if self.state.draining else timing.idle_ms * 1_000_000
@@ -590,12 +592,12 @@
     status: int,
     body: bytes,
     headers: tuple[tuple[str, str], ...] = (),
-    kind: str = "application/json",
+    content_type: str = "application/json",
     keep: bool = True,
     head_only: bool = False,
 ) -> bytes:
     """Encode a response with its whole body; ``keep`` leaves the connection open."""
-    fields = [("Content-Type", kind), *headers]
+    fields = [("Content-Type", content_type), *headers]
     if not keep:
         fields.append(("Connection", "close"))
     return writer.response(status, fields, body, head_only)
--- a/stonetrack/settings/load.py
+++ b/stonetrack/settings/load.py
@@ -55,9 +55,9 @@
         if unknown := _UNKNOWN_FIELD.search(message):
             raise SettingsError([Problem(f"{at}.{unknown[1]}", unknown[1], _fields_at(at))], where) from None
         raise SettingsError([Problem(at, _value_at(text, at), message)], where) from None
-    found = tuple(find_problems(node))
-    if found:
-        raise SettingsError(found, where)
+    found_problems = tuple(find_problems(node))
+    if found_problems:
+        raise SettingsError(found_problems, where)
     return node
 
 
