--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -269,7 +269,7 @@
         self.host.drain(accept_queued=True)
         while self.core.open_requests:
             time.sleep(0.02)
-        # The host is sealed last: meanwhile it reads and refuses late requests, which would otherwise get no answer.
+        # The host stops reading last: until then it refuses late requests, which would otherwise get no answer.
         until = max(started + self._drain_time_s(), time.monotonic() + LAST_RELEASES_S)
         while (self.releases.open or len(self.abandoned)) and time.monotonic() < until:
             time.sleep(0.02)
--- a/stonetrack/edge/trace.py
+++ b/stonetrack/edge/trace.py
@@ -33,13 +33,13 @@
     of open attempts and idle connections on the sockets."""
     lines = []
     for s in router.servers.values():
-        paused = [key for key, pause in s.ejections.items() if pause.until > router.now]
-        cold = s.slow_start_until > router.now
-        if s.unanswered or s.streams or s.held_states or s.pending_tokens or paused or cold:
+        ejected = [key for key, ejection in s.ejections.items() if ejection.until > router.now]
+        in_slow_start = s.slow_start_until > router.now
+        if s.unanswered or s.streams or s.held_states or s.pending_tokens or ejected or in_slow_start:
             reported = None if s.report is None else (s.report.in_flight, s.report.queued, s.report.memory_share)
             lines.append(
                 f"{s.name} {s.role.value} {s.state.value} waiting {len(s.unanswered)} streams {s.streams} "
-                f"states {s.held_states} work {s.pending_tokens:.0f} paused {paused} cold {cold} reported {reported}; "
+                f"states {s.held_states} work {s.pending_tokens:.0f} paused {ejected} cold {in_slow_start} reported {reported}; "
                 f"sockets: open {open_attempts.get(s.name, 0)} kept {idle_connections(s.name)}"
             )
     return lines
