--- a/stonetrack/edge/abandoned.py
+++ b/stonetrack/edge/abandoned.py
@@ -276,7 +276,7 @@
             return ReleaseResult.DONE if isinstance(pending, _Release) and pending.once else result
         engine = self._engines.get(pending.server)
         return (
-            ReleaseResult.DONE if engine is None else self._release_at(engine, pending.request)
+            ReleaseResult.DONE if engine is None else self._release_at(engine, pending.request_id)
         )  # None: attempts were dropped
 
     def _release_ended(self, number: int, pending: PendingRelease) -> None:
--- a/stonetrack/edge/releases.py
+++ b/stonetrack/edge/releases.py
@@ -130,8 +130,8 @@
                 self._workers.changed.notify_all()
 
     def _release_ended(self, number: int, pending: PendingRelease) -> None:
-        if self._pending.get(pending.request) == number:
-            del self._pending[pending.request]
+        if self._pending.get(pending.request_id) == number:
+            del self._pending[pending.request_id]
 
     def try_any_engine(self, pending: PendingRelease) -> ReleaseResult:
         """Try a release once, at the engine most likely to answer.  Fulfils ``Obligation.RELEASE``."""
@@ -142,10 +142,10 @@
         if engine is None:
             return ReleaseResult.RETRY
         try:
-            return self._call(engine, pending.request, pending.decided_at, RELEASE_TIMEOUT_S)
+            return self._call(engine, pending.request_id, pending.decided_at, RELEASE_TIMEOUT_S)
         except OSError as error:
             self._note(
-                pending.request, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided_at=pending.decided_at
+                pending.request_id, Step.RELEASE_UNHEARD, engine.name, why=str(error), decided_at=pending.decided_at
             )
             return ReleaseResult.RETRY  # the next try goes to another engine
 
