--- a/stonetrack/edge/trace.py
+++ b/stonetrack/edge/trace.py
@@ -39,7 +39,7 @@
             reported = None if s.report is None else (s.report.in_flight, s.report.queued, s.report.memory_share)
             lines.append(
                 f"{s.name} {s.role.value} {s.state.value} waiting {len(s.unanswered)} streams {s.streams} "
-                f"states {s.held_states} work {s.pending_tokens:.0f} paused {ejected} cold {in_slow_start} reported {reported}; "
-                f"sockets: open {open_attempts.get(s.name, 0)} kept {idle_connections(s.name)}"
+                f"states {s.held_states} work {s.pending_tokens:.0f} paused {ejected} cold {in_slow_start} "
+                f"reported {reported}; sockets: open {open_attempts.get(s.name, 0)} kept {idle_connections(s.name)}"
             )
     return lines
