--- a/benchmarks/background.py
+++ b/benchmarks/background.py
@@ -16,14 +16,14 @@
 import time
 from collections.abc import Callable
 
-from stonetrack.background.wheel import Timer, Wheel
+from stonetrack.background.timer_wheel import Timer, TimerWheel
 
 MS = 1_000_000
 OPERATIONS = 40_000
 
 
 def wheel(dues: list[int], cancel: list[bool], standing: int) -> float:
-    made: Wheel[int] = Wheel(0)
+    made: TimerWheel[int] = TimerWheel(0)
     held: list[Timer[int]] = [made.add(due, n) for n, due in enumerate(dues[:standing])]
     start = time.perf_counter()
     now = 0
--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -15,10 +15,10 @@
 from stonetrack import api
 from stonetrack.capture import codec, segment
 from stonetrack.capture.codec import Header
-from stonetrack.capture.history import read
+from stonetrack.capture.history import iter_records
+from stonetrack.capture.maintenance import MaintenanceRunner
 from stonetrack.capture.parallel import replay_folder
 from stonetrack.capture.replay import replay
-from stonetrack.capture.tend import Tender
 from stonetrack.logic import Router
 
 MS = 1_000_000
@@ -48,7 +48,7 @@
         actions = router.handle(now, event)
         records.append(codec.encode_call(now, event, actions))
         if len(records) >= 2_000:
-            blocks.append(segment.pack(records, number))
+            blocks.append(segment.encode_block(records, number))
             number += len(records)
             records.clear()
         return actions
@@ -71,28 +71,28 @@
             else:
                 tell(api.FirstToken(name, attempt, server, MS))
                 actions = tell(api.AttemptEnded(name, attempt, server, api.Outcome.SERVED, 2 * MS, True, report=report))
-    blocks.append(segment.pack(records, number))
+    blocks.append(segment.encode_block(records, number))
     made = time.process_time() - start
     with tempfile.TemporaryDirectory() as temporary:
         path = Path(temporary) / "i0.1-0.cap"
         path.write_bytes(segment.MAGIC + b"".join(blocks))
         size = path.stat().st_size
         start = time.perf_counter()
-        found, damage = segment.scan(path.read_bytes())
+        found, damage = segment.scan_blocks(path.read_bytes())
         opened = time.perf_counter() - start
         total = sum(block.records for block in found)
         start = time.perf_counter()
-        result = replay(read([path], []))
+        result = replay(iter_records([path], []))
         took = time.perf_counter() - start
-        tender = Tender(Path(temporary), budget_bytes=1 << 40, log=print, states_every=2_000)
-        tender.once()
+        tender = MaintenanceRunner(Path(temporary), budget_bytes=1 << 40, log=print, states_every=2_000)
+        tender.run_once()
         tender.stop()
         start = time.perf_counter()
         outcomes = replay_folder(Path(temporary), 8)
         parallel = time.perf_counter() - start
         assert sum(outcome.calls for outcome in outcomes) == result.calls
         assert all(outcome.difference is None for outcome in outcomes)
-    assert damage is None and result.same
+    assert damage is None and result.matches
     print(
         f"{total} calls at {servers} servers: {size / total:.1f} bytes a call; opened and checked in {opened:.2f} s; "
         f"replayed in {took:.1f} s, {(now / 1e9) / took:.0f} times its own time at 40 requests a second (made in {made:.1f} s);"
@@ -108,7 +108,7 @@
     folder = live(5, 3.0)
     calls = size = 0
     for path in sorted(folder.glob("*.cap")):
-        blocks, _ = segment.scan(path.read_bytes())
+        blocks, _ = segment.scan_blocks(path.read_bytes())
         calls += sum(block.records for block in blocks)
         size += path.stat().st_size
     print(f"live: {calls} calls, {size / max(calls, 1):.1f} bytes a call")
--- a/benchmarks/cases.py
+++ b/benchmarks/cases.py
@@ -139,11 +139,11 @@
     for seed in range(tries):
         with tempfile.TemporaryDirectory() as temporary:
             live(recipe, old, Path(temporary), seed)
-            (files,) = history.routers(Path(temporary)).values()
-            header, events = case.history_of(history.read(files, []))
+            (files,) = history.segments_by_router(Path(temporary)).values()
+            header, events = case.recorded_history(history.iter_records(files, []))
             try:
-                made = case.cut(header, events, old, new, title=recipe.title, fixed_by=recipe.fixed_by,
-                                found=recipe.found, also=Router, tell=lambda text: print(f"{name}: {text}"))  # fmt: skip
+                made = case.cut_case(header, events, old, new, title=recipe.title, fixed_by=recipe.fixed_by,
+                                found=recipe.found, later_make=Router, on_progress=lambda text: print(f"{name}: {text}"))  # fmt: skip
             except CaptureError as error:
                 print(f"{name}, seed {seed}: {str(error)[:200]}")
                 continue
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -22,8 +22,8 @@
 from stonetrack import api
 from stonetrack.capture import codec, index, seek, segment
 from stonetrack.capture.codec import Header, Record
-from stonetrack.capture.history import Reading, routers
-from stonetrack.capture.store import Saved, Store
+from stonetrack.capture.history import HistoryReader, segments_by_router
+from stonetrack.capture.store import SavedState, Store
 
 MS = 1_000_000
 SETTINGS = api.Settings(
@@ -75,12 +75,12 @@
     while some := list(itertools.islice(blocks, SEGMENT)):
         path = folder / f"i0.1-{at:020d}.cap"
         at += 1
-        builder = index.Builder()
+        builder = index.IndexBuilder()
         offset = len(segment.MAGIC)
         with path.open("wb") as file:
             file.write(segment.MAGIC)
             for records in some:
-                data = segment.pack(map(codec.encode, records), number)
+                data = segment.encode_block(map(codec.encode, records), number)
                 file.write(data)
                 start = time.perf_counter()
                 builder.add(segment.Block(offset, len(data), number, len(records)), records)
@@ -93,11 +93,11 @@
                 number += len(records)
                 offset += len(data)
         status = path.stat()
-        store.put_index(path.name, builder.made(status.st_size, status.st_mtime_ns))
+        store.put_index(path.name, builder.build(status.st_size, status.st_mtime_ns))
         if sys.stderr.isatty():
             print(f"\rwritten {number} of {events}", end="", file=sys.stderr)
     for at in range(20_000, number, 20_000):
-        store.put_state(Saved("i0.1", at, 1_000 * MS + at * 5 * MS, "b", b"x" * 200_000))
+        store.put_state(SavedState("i0.1", at, 1_000 * MS + at * 5 * MS, "b", b"x" * 200_000))
     plain.sync()
     spent["index bytes"] = sum(len(store._get(b"segments", path.name) or b"") for path in folder.glob("*.cap"))
     spent["keys bytes"] = plain.info()["last_pgno"] * 4_096
@@ -126,20 +126,20 @@
     with tempfile.TemporaryDirectory() as temporary:
         folder = Path(temporary)
         spent = write(folder, options.events)
-        (files,) = routers(folder).values()
+        (files,) = segments_by_router(folder).values()
         end = 1_000 * MS + options.events * 5 * MS
         requests = options.events // 5
 
         def by_time() -> None:
-            next(seek.since(folder, Reading(files), draw.randrange(1_000 * MS, end)))
+            next(seek.since(folder, HistoryReader(files), draw.randrange(1_000 * MS, end)))
 
         def by_request() -> None:
             name = f"chatcmpl-{draw.randrange(1, requests):024x}"
-            assert any(name in index.requests_of(r) for _, r in seek.about(folder, Reading(files), name))
+            assert any(name in index.requests_of(r) for _, r in seek.about(folder, HistoryReader(files), name))
 
         def by_reading() -> None:
             name = f"chatcmpl-{requests // 2:024x}"
-            assert any(name in index.requests_of(r) for _, r in Reading(files).records())
+            assert any(name in index.requests_of(r) for _, r in HistoryReader(files).records())
 
         def opened() -> None:
             with Store(folder) as store:
--- a/stonetrack/background/runner.py
+++ b/stonetrack/background/runner.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from stonetrack.background.plan import Budget, Job, Plan, State, Step
+from stonetrack.background.scheduler import Budget, Job, JobState, Scheduler, StepResult
 
 
 class Runner:
@@ -15,7 +15,7 @@
     def __init__(self, budgets: tuple[Budget, ...], log: Callable[[str], None]) -> None:
         self._log = log
         self._changed = threading.Condition(threading.Lock())
-        self._plan = Plan(time.monotonic_ns(), budgets)
+        self._plan = Scheduler(time.monotonic_ns(), budgets)
         self._stopping = False
         self._running: Job | None = None
         self._thread = threading.Thread(target=self._run, name="background", daemon=True)
@@ -39,11 +39,11 @@
             self._plan.submit(now, job, now + delay)
             self._changed.notify()
 
-    def hasten(self, job: Job, delay: int = 0) -> None:
+    def expedite(self, job: Job, delay: int = 0) -> None:
         """Give a job a deadline so many nanoseconds from now."""
         with self._changed:
             now = time.monotonic_ns()
-            self._plan.hasten(now, job, now + delay)
+            self._plan.expedite(now, job, now + delay)
             self._changed.notify()
 
     def jobs(self) -> list[Job]:
@@ -55,7 +55,7 @@
         with self._changed:
             while not self._stopping:
                 now = time.monotonic_ns()
-                found = self._plan.next(now)
+                found = self._plan.next_job(now)
                 if isinstance(found, Job):
                     return found
                 self._changed.wait(None if found is None else max(0.0, (found - now) / 1e9))
@@ -64,7 +64,7 @@
     def _run(self) -> None:
         while (job := self._next()) is not None:
             start = time.thread_time_ns()
-            step: Step | None = None
+            step: StepResult | None = None
             error = ""
             try:
                 step = job.step()
@@ -72,7 +72,7 @@
                 error = f"{type(problem).__name__}: {problem}"
             took = time.thread_time_ns() - start
             with self._changed:
-                self._plan.ran(time.monotonic_ns(), job, took, step, error)
-                given_up = bool(error) and job.state is State.ENDED
+                self._plan.record_step(time.monotonic_ns(), job, took, step, error)
+                given_up = bool(error) and job.state is JobState.ENDED
             if given_up:
                 self._log(f"background: {job.name} given up after {job.failures} tries: {error}")
--- a/stonetrack/background/plan.py
+++ b/stonetrack/background/scheduler.py
@@ -9,8 +9,8 @@
   budget is below zero waits until it is whole again.  Nothing is ever charged to another budget.
 - **Priorities.**  Of the jobs that may run, the one of the highest priority does; among equals the one that ran longest
   ago.  One that could have run and did not rises by one each ``aging``: nothing starves.
-- **Deadlines.**  A job whose deadline has come runs before all others and may overdraw its budget, down to ``debt``
-  seconds' worth: late work is worse than a busy moment, but not without end.
+- **Deadlines.**  A job whose deadline has come runs before all others and may overdraw its budget, by at most
+  ``max_debt_seconds`` seconds' worth: late work is worse than a busy moment, but not without end.
 - **Failure.**  A step that raised is tried again after a pause that doubles, so many times; then the job is given up
   and said so.
 
@@ -24,12 +24,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from stonetrack.background.wheel import Timer, Wheel
+from stonetrack.background.timer_wheel import Timer, TimerWheel
 
 SECOND = 1_000_000_000
 
 
-class State(Enum):
+class JobState(Enum):
     """A job's life.
 
     WAITING -> READY: its time has come, or its budget is whole again.  READY -> RUNNING: the plan chose it.
@@ -43,42 +43,42 @@
     ENDED = "ended"
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket that may be overdrawn; ``rate`` a second, at most ``burst`` saved up.  Rate 0: no bound."""
 
-    __slots__ = ("at", "burst", "left", "rate")
+    __slots__ = ("burst", "rate", "tokens", "updated_at")
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
-        self.rate, self.burst, self.left, self.at = rate, burst, burst, now
+        self.rate, self.burst, self.tokens, self.updated_at = rate, burst, burst, now
 
     def refill(self, now: int) -> None:
         """Add what has come since the last look."""
         if self.rate:
-            self.left = min(self.burst, self.left + self.rate * max(0, now - self.at) / SECOND)
-        self.at = max(self.at, now)
+            self.tokens = min(self.burst, self.tokens + self.rate * max(0, now - self.updated_at) / SECOND)
+        self.updated_at = max(self.updated_at, now)
 
-    def draw(self, amount: float) -> None:
+    def spend(self, amount: float) -> None:
         """Take, below zero if need be."""
         if self.rate:
-            self.left -= amount
+            self.tokens -= amount
 
-    def whole_at(self, floor: float = 0.0) -> int:
+    def available_at(self, floor: float = 0.0) -> int:
         """When it is at ``floor`` again, at the earliest now."""
-        if not self.rate or self.left >= floor:
-            return self.at
-        return self.at + int((floor - self.left) / self.rate * SECOND) + 1
+        if not self.rate or self.tokens >= floor:
+            return self.updated_at
+        return self.updated_at + int((floor - self.tokens) / self.rate * SECOND) + 1
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
     """Bounds for all jobs that name it.  ``share`` of one core (0: no bound), ``bytes_per_second`` (0: no bound),
-    ``debt`` in seconds' worth that deadlines may overdraw."""
+    ``max_debt_seconds`` in seconds' worth that deadlines may overdraw."""
 
     name: str
     share: float = 0.05
     bytes_per_second: float = 0.0
     burst_seconds: float = 1.0
-    debt: float = 2.0
+    max_debt_seconds: float = 2.0
 
 
 @dataclass(slots=True, eq=False)
@@ -86,42 +86,44 @@
     """One piece of work.  ``step`` is the caller's; the plan never calls it."""
 
     name: str
-    step: Callable[[], Step]
+    step: Callable[[], StepResult]
     budget: str
     priority: int = 0
-    every: int = 0  # nanoseconds between ends and the next beginning; 0: once
+    repeat_after: int = 0  # nanoseconds between ends and the next beginning; 0: once
     deadline: int | None = None
-    tries: int = 5
-    state: State = State.WAITING
+    max_attempts: int = 5
+    state: JobState = JobState.WAITING
     ready_at: int = 0
-    ran_at: int = 0
+    last_run_at: int = 0
     failures: int = 0
     steps: int = 0
-    took: int = 0
+    cpu_time: int = 0
     bytes: int = 0
     error: str = ""
     timer: Timer[Job] | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class StepResult:
     """What one step did: whether the job is done, and the bytes it read and wrote."""
 
     done: bool
     bytes: int = 0
 
 
-class Plan:
+class Scheduler:
     """See the module; times in nanoseconds of any one clock."""
 
     def __init__(
-        self, now: int, budgets: tuple[Budget, ...], aging: int = 10 * SECOND, first_pause: int = SECOND
+        self, now: int, budgets: tuple[Budget, ...], aging: int = 10 * SECOND, first_retry_delay: int = SECOND
     ) -> None:
-        self._wheel: Wheel[Job] = Wheel(now)
-        self._aging, self._first_pause = aging, first_pause
+        self._wheel: TimerWheel[Job] = TimerWheel(now)
+        self._aging, self._first_pause = aging, first_retry_delay
         self._budgets = {b.name: b for b in budgets}
-        self._time = {b.name: Bucket(b.share * SECOND, b.share * SECOND * b.burst_seconds, now) for b in budgets}
-        self._bytes = {b.name: Bucket(b.bytes_per_second, b.bytes_per_second * b.burst_seconds, now) for b in budgets}
+        self._time = {b.name: TokenBucket(b.share * SECOND, b.share * SECOND * b.burst_seconds, now) for b in budgets}
+        self._bytes = {
+            b.name: TokenBucket(b.bytes_per_second, b.bytes_per_second * b.burst_seconds, now) for b in budgets
+        }
         self._ready: list[Job] = []
         self.jobs: dict[str, Job] = {}
 
@@ -140,20 +142,20 @@
             self._wheel.cancel(job.timer)
         if job in self._ready:
             self._ready.remove(job)
-        job.state = State.ENDED
+        job.state = JobState.ENDED
         self.jobs.pop(job.name, None)
 
-    def hasten(self, now: int, job: Job, deadline: int) -> None:
+    def expedite(self, now: int, job: Job, deadline: int) -> None:
         """Give a job a deadline, or an earlier one, and look at it at once."""
         if job.deadline is None or deadline < job.deadline:
             job.deadline = deadline
-        if job.state is State.WAITING:
+        if job.state is JobState.WAITING:
             if job.timer is not None:
                 self._wheel.cancel(job.timer)
             self._later(job, now)
 
     def _later(self, job: Job, due: int) -> None:
-        job.state = State.WAITING
+        job.state = JobState.WAITING
         job.timer = self._wheel.add(due, job)
 
     def _allowed_at(self, now: int, job: Job) -> int:
@@ -163,13 +165,13 @@
         budget = self._budgets[job.budget]
         for bucket in (self._time[job.budget], self._bytes[job.budget]):
             bucket.refill(now)
-            when = max(when, bucket.whole_at(-bucket.rate * budget.debt if late else 0.0))
+            when = max(when, bucket.available_at(-bucket.rate * budget.max_debt_seconds if late else 0.0))
         return when
 
-    def next(self, now: int) -> Job | int | None:
+    def next_job(self, now: int) -> Job | int | None:
         """The job whose step is to run now, or the time at which to ask again, or None where nothing waits."""
         for job in self._wheel.advance(now):
-            job.timer, job.state, job.ready_at = None, State.READY, now
+            job.timer, job.state, job.ready_at = None, JobState.READY, now
             self._ready.append(job)
         best: Job | None = None
         for job in list(self._ready):
@@ -182,36 +184,36 @@
                 best = job
         if best is not None:
             self._ready.remove(best)
-            best.state, best.ran_at = State.RUNNING, now
+            best.state, best.last_run_at = JobState.RUNNING, now
             return best
         return self._wheel.next_due()
 
     def _rank(self, now: int, job: Job) -> tuple[bool, int, int, int]:
         late = job.deadline is not None and now >= job.deadline
         waited = (now - job.ready_at) // self._aging
-        return not late, -(job.priority + waited), job.ran_at, job.ready_at
+        return not late, -(job.priority + waited), job.last_run_at, job.ready_at
 
-    def ran(self, now: int, job: Job, took: int, step: Step | None, error: str = "") -> None:
+    def record_step(self, now: int, job: Job, took: int, step: StepResult | None, error: str = "") -> None:
         """Book a step: what it took, and that it did so much, or failed with an error (``step`` None)."""
-        self._time[job.budget].draw(took)
-        job.steps, job.took = job.steps + 1, job.took + took
+        self._time[job.budget].spend(took)
+        job.steps, job.cpu_time = job.steps + 1, job.cpu_time + took
         if step is not None:
-            self._bytes[job.budget].draw(step.bytes)
+            self._bytes[job.budget].spend(step.bytes)
             job.bytes += step.bytes
-        if job.state is State.ENDED:  # cancelled meanwhile
+        if job.state is JobState.ENDED:  # cancelled meanwhile
             return
         if step is None:
             job.failures, job.error = job.failures + 1, error
-            if job.failures >= job.tries:
+            if job.failures >= job.max_attempts:
                 self.cancel(job)
                 return
             self._later(job, now + self._first_pause * (1 << min(job.failures - 1, 10)))
         elif not step.done:
             job.failures = 0
-            job.state, job.ready_at = State.READY, now
+            job.state, job.ready_at = JobState.READY, now
             self._ready.append(job)
-        elif job.every:
+        elif job.repeat_after:
             job.failures, job.error, job.deadline = 0, "", None
-            self._later(job, now + job.every)
+            self._later(job, now + job.repeat_after)
         else:
             self.cancel(job)
--- a/stonetrack/background/wheel.py
+++ b/stonetrack/background/timer_wheel.py
@@ -8,8 +8,9 @@
 then.  When level 0 comes round, one slot of level 1 is dealt out over it.  Empty slots are skipped by a bit set for
 each level, so that a long sleep costs no more than a short one.
 
-Invariants: a timer is given out once, never before its due time, by :meth:`Wheel.advance` in the order of due time and,
-where that is equal, of adding; the slots' bits are set exactly where a slot holds a timer (cancelled ones included).
+Invariants: a timer is given out once, never before its due time, by :meth:`TimerWheel.advance` in the order of due time
+and, where that is equal, of adding; the slots' bits are set exactly where a slot holds a timer (cancelled ones
+included).
 Cost: add and cancel O(1); advance O(timers given out + levels for each); each timer is moved at most thrice.
 """
 
@@ -35,7 +36,7 @@
     item: T | None
 
 
-class Wheel(Generic[T]):
+class TimerWheel(Generic[T]):
     """Timers by due time.  ``tick`` is the grain in nanoseconds: a timer is given out up to one later."""
 
     def __init__(self, now: int, tick: int = 1_000_000) -> None:
--- a/stonetrack/capture/case.py
+++ b/stonetrack/capture/case.py
@@ -34,7 +34,8 @@
 
 @dataclass(frozen=True)
 class Case:
-    """One case; see the module.  ``events`` are (clock, event); ``then`` and ``now`` the last call's actions."""
+    """One case; see the module.  ``events`` are (clock, event); ``faulty_actions`` and ``fixed_actions`` the
+    last call's actions."""
 
     title: str
     request: str
@@ -43,12 +44,12 @@
     settings: api.Settings
     seed: int
     events: tuple[tuple[int, api.Event], ...]
-    then: tuple[api.Action, ...]
-    now: tuple[api.Action, ...]
-    expected: tuple[tuple[api.Action, ...], ...] = field(default=())  # of each call before the last
+    faulty_actions: tuple[api.Action, ...]
+    fixed_actions: tuple[api.Action, ...]
+    earlier_actions: tuple[tuple[api.Action, ...], ...] = field(default=())  # of each call before the last
 
 
-def decide(
+def decisions(
     make: Make, settings: api.Settings, seed: int, events: Iterable[tuple[int, api.Event]]
 ) -> list[tuple[api.Action, ...]]:
     """What a module decides at each call."""
@@ -56,7 +57,7 @@
     return [tuple(router.handle(at, event)) for at, event in events]
 
 
-def possible(events: Sequence[tuple[int, api.Event]], decided: Sequence[tuple[api.Action, ...]]) -> bool:
+def is_possible(events: Sequence[tuple[int, api.Event]], decided: Sequence[tuple[api.Action, ...]]) -> bool:
     """Whether a history could have happened: outcomes only of attempts that are out, at the server they went to."""
     out: dict[str, str] = {}
     numbers: dict[str, int] = {}
@@ -88,7 +89,7 @@
     return next((n for n, (a, b) in enumerate(zip(one, two, strict=False)) if a != b), None)
 
 
-def smaller(parts: list[T], holds: Callable[[list[T]], bool], most: int = 600) -> list[T]:
+def minimize(parts: list[T], holds: Callable[[list[T]], bool], most: int = 600) -> list[T]:
     """The parts that are needed for ``holds``, found by taking ever smaller runs of them out; at most so many tries."""
     size = max(1, len(parts) // 2)
     tries = 0
@@ -107,7 +108,7 @@
         size = max(1, size // 2) if not shrunk or size > 1 else 1
 
 
-def history_of(records: Iterable[Record]) -> tuple[Header, list[tuple[int, api.Event]]]:
+def recorded_history(records: Iterable[Record]) -> tuple[Header, list[tuple[int, api.Event]]]:
     """The header and events of one router up to a hole.  Raises CaptureError where it does not begin with one."""
     header: Header | None = None
     events: list[tuple[int, api.Event]] = []
@@ -127,9 +128,11 @@
     return header, events
 
 
-def cut(header: Header, events: list[tuple[int, api.Event]], old: Module, new: Module, *, title: str, fixed_by: str,
-        found: str, also: Make | None = None, tell: Callable[[str], None] = lambda text: None) -> Case:  # fmt: skip
-    """Cut the first decision on which two revisions differ; ``also``, a later one, must agree with the newer there.
+def cut_case(header: Header, events: list[tuple[int, api.Event]], old: Module, new: Module, *, title: str,
+             fixed_by: str, found: str, later_make: Make | None = None,
+             on_progress: Callable[[str], None] = lambda text: None) -> Case:  # fmt: skip
+    """Cut the first decision on which two revisions differ; ``later_make``, a later one, must agree with the
+    newer there.
 
     Raises CaptureError where they never differ.
     """
@@ -143,85 +146,85 @@
         raise CaptureError(f"{old.name} and {new.name} decide all {len(events)} calls alike")
     events = events[: at + 1]
     last = events[-1]
-    then = decide(old.make, settings, seed, events)[-1]
-    now = decide(new.make, settings, seed, events)[-1]
-    tell(f"call {at}: {len(events)} events")
+    then = decisions(old.make, settings, seed, events)[-1]
+    now = decisions(new.make, settings, seed, events)[-1]
+    on_progress(f"call {at}: {len(events)} events")
 
     def kind(actions: tuple[api.Action, ...]) -> list[str]:
         return [type(action).__name__ for action in actions]
 
     def agrees(make: Make, part: list[tuple[int, api.Event]], last: tuple[api.Action, ...]) -> bool:
         try:
-            return decide(make, settings, seed, part)[-1] == last
+            return decisions(make, settings, seed, part)[-1] == last
         except (KeyError, ValueError):  # its own earlier decisions made this history impossible for it
             return False
 
     def holds(groups: list[list[tuple[int, int, api.Event]]]) -> bool:
         part = [(clock, event) for _, clock, event in sorted((e for g in groups for e in g), key=lambda e: e[0])]
         part.append(last)
-        decided = decide(old.make, settings, seed, part)
-        if not possible(part, decided) or kind(decided[-1]) != kind(then):
+        decided = decisions(old.make, settings, seed, part)
+        if not is_possible(part, decided) or kind(decided[-1]) != kind(then):
             return False
-        other = decide(new.make, settings, seed, part)
+        other = decisions(new.make, settings, seed, part)
         if kind(other[-1]) != kind(now) or other[-1] == decided[-1] or decided[:-1] != other[:-1]:
             return False
-        return also is None or agrees(also, part, other[-1])
+        return later_make is None or agrees(later_make, part, other[-1])
 
     grouped: dict[str, list[tuple[int, int, api.Event]]] = {}
     for n, (clock, event) in enumerate(events[:-1]):
         name = codec.request_of(event) or f"{type(event).__name__} {n}"
         grouped.setdefault(name, []).append((n, clock, event))
     if not holds(list(grouped.values())):  # not reproducible as a history by itself: keep it whole
-        if also is not None:
-            raise CaptureError(f"the later module does not decide {now} there, or the history is not whole")
+        if later_make is not None:
+            raise CaptureError(f"the later module does not decisions {now} there, or the history is not whole")
         kept = [(n, clock, event) for n, (clock, event) in enumerate(events[:-1])]
     else:
-        groups = smaller(list(grouped.values()), holds)
-        tell(f"{sum(map(len, groups))} events in {len(groups)} groups")
-        kept = [each[0] for each in smaller([[event] for group in groups for event in group], holds)]
+        groups = minimize(list(grouped.values()), holds)
+        on_progress(f"{sum(map(len, groups))} events in {len(groups)} groups")
+        kept = [each[0] for each in minimize([[event] for group in groups for event in group], holds)]
         kept.sort(key=lambda e: e[0])
-    tell(f"{len(kept) + 1} events")
+    on_progress(f"{len(kept) + 1} events")
     part = [*((clock, event) for _, clock, event in kept), last]
-    decided = decide(old.make, settings, seed, part)
-    then, now = decided[-1], decide(new.make, settings, seed, part)[-1]
+    decided = decisions(old.make, settings, seed, part)
+    then, now = decided[-1], decisions(new.make, settings, seed, part)[-1]
     request = codec.request_of(last[1]) or next((r for a in (*then, *now) if (r := getattr(a, "request", ""))), "")
     return Case(title, request, fixed_by, found, settings, seed, tuple(part), then, now, tuple(decided[:-1]))
 
 
 @dataclass(frozen=True)
-class Ran:
+class CaseResult:
     """A case run by some module: where it first decides otherwise than expected, and what it does at the last call."""
 
-    astray: int | None
-    last: tuple[api.Action, ...]
+    first_unexpected: int | None
+    last_actions: tuple[api.Action, ...]
     verdict: str  # "fixed", "broken again" or "neither"
 
 
-def run(case: Case, make: Make) -> Ran:
+def run_case(case: Case, make: Make) -> CaseResult:
     """Run a case.  ``fixed`` where the last call decides ``now``, ``broken again`` where ``then``."""
-    decided = decide(make, case.settings, case.seed, case.events)
+    decided = decisions(make, case.settings, case.seed, case.events)
     last = decided[-1]
-    verdict = "fixed" if last == case.now else "broken again" if last == case.then else "neither"
-    return Ran(first_difference(decided[:-1], case.expected), last, verdict)
+    verdict = "fixed" if last == case.fixed_actions else "broken again" if last == case.faulty_actions else "neither"
+    return CaseResult(first_difference(decided[:-1], case.earlier_actions), last, verdict)
 
 
 # The file.
 
 
 def _plain(actions: Iterable[api.Action]) -> list[Any]:
-    return [codec.plain(action) for action in actions]
+    return [codec.to_array(action) for action in actions]
 
 
 def encode(case: Case) -> bytes:
     """The file's text: one line for each event, with what was decided there."""
-    decided = [*case.expected, case.then]
+    decided = [*case.earlier_actions, case.faulty_actions]
     head = {
         "format": FORMAT, "title": case.title, "request": case.request, "fixed_by": case.fixed_by, "found": case.found,
-        "seed": case.seed, "settings": msgspec.to_builtins(case.settings), "now": _plain(case.now),
+        "seed": case.seed, "settings": msgspec.to_builtins(case.settings), "now": _plain(case.fixed_actions),
     }  # fmt: skip
     lines = [msgspec.json.encode(head)]
     for (clock, event), actions in zip(case.events, decided, strict=True):
-        lines.append(msgspec.json.encode([clock, codec.plain(event), _plain(actions)]))
+        lines.append(msgspec.json.encode([clock, codec.to_array(event), _plain(actions)]))
     return b"\n".join(lines) + b"\n"
 
 
@@ -231,12 +234,12 @@
         head, *rows = [msgspec.json.decode(line) for line in data.splitlines() if line.strip()]
         if head["format"] != FORMAT:
             raise CaptureError(f"a case of format {head['format']}; this version reads {FORMAT}")
-        events = tuple((clock, codec.unplain(event)) for clock, event, _ in rows)
-        decided = [tuple(map(codec.unplain, actions)) for _, _, actions in rows]
+        events = tuple((clock, codec.from_array(event)) for clock, event, _ in rows)
+        decided = [tuple(map(codec.from_array, actions)) for _, _, actions in rows]
         return Case(
             head["title"], head["request"], head["fixed_by"], head["found"],
             msgspec.convert(head["settings"], api.Settings), head["seed"], events, decided[-1],
-            tuple(map(codec.unplain, head["now"])), tuple(decided[:-1]),
+            tuple(map(codec.from_array, head["now"])), tuple(decided[:-1]),
         )  # fmt: skip
     except CaptureError:
         raise
--- a/stonetrack/capture/codec.py
+++ b/stonetrack/capture/codec.py
@@ -72,18 +72,18 @@
 
 
 Record = Header | Call | Gap | State
-Thing = Any  # an event or an action
+EventOrAction = Any  # an event or an action
 
 
 def _classes(union: Any) -> dict[str, type]:
     return {cls.__name__: cls for cls in typing.get_args(union)}
 
 
-KNOWN: dict[str, type] = {**_classes(api.Event), **_classes(api.Action)}
-Encoder = Callable[[Any], Any]
+CLASSES_BY_NAME: dict[str, type] = {**_classes(api.Event), **_classes(api.Action)}
+Converter = Callable[[Any], Any]
 
 
-def _field_codec(kind: Any) -> tuple[Encoder | None, Encoder | None]:
+def _field_codec(kind: Any) -> tuple[Converter | None, Converter | None]:
     """How a field's value becomes plain, and plain becomes it; None where it is plain already."""
     if isinstance(kind, types.UnionType):
         inner = [k for k in typing.get_args(kind) if k is not types.NoneType]
@@ -104,13 +104,13 @@
     raise TypeError(f"no codec for {kind}")
 
 
-def _optional(out: Encoder | None, back: Encoder | None) -> tuple[Encoder | None, Encoder | None]:
+def _optional(out: Converter | None, back: Converter | None) -> tuple[Converter | None, Converter | None]:
     if out is None or back is None:
         return None, None
     return (lambda v: None if v is None else out(v)), (lambda v: None if v is None else back(v))
 
 
-def _struct_codec(cls: type) -> tuple[Encoder, Encoder]:
+def _struct_codec(cls: type) -> tuple[Converter, Converter]:
     hints = typing.get_type_hints(cls)
     names = [field.name for field in dataclasses.fields(cls)]
     codecs = [_field_codec(hints[name]) for name in names]
@@ -129,19 +129,19 @@
     return encode, decode
 
 
-_CODECS = {name: _struct_codec(cls) for name, cls in KNOWN.items()}
+_CODECS = {name: _struct_codec(cls) for name, cls in CLASSES_BY_NAME.items()}
 _pack = msgspec.msgpack.Encoder().encode
 _unpack = msgspec.msgpack.Decoder().decode
 
 
-def plain(thing: Thing) -> list[Any]:
+def to_array(thing: EventOrAction) -> list[Any]:
     """An event or action as an array of its name and fields."""
     name = type(thing).__name__
     return [name, *_CODECS[name][0](thing)]
 
 
-def unplain(values: Any) -> Thing:
-    """The event or action of :func:`plain`.  Raises CaptureError."""
+def from_array(values: Any) -> EventOrAction:
+    """The event or action of :func:`to_array`.  Raises CaptureError."""
     if not isinstance(values, list) or not values or values[0] not in _CODECS:
         raise CaptureError(f"an event or action of no known kind: {str(values)[:60]!r}")
     return _CODECS[values[0]][1](values[1:])
@@ -149,7 +149,7 @@
 
 def encode_call(at: int, event: api.Event, actions: typing.Sequence[api.Action]) -> bytes:
     """One call's record."""
-    return _pack([EVENT, at, plain(event), [plain(action) for action in actions]])
+    return _pack([EVENT, at, to_array(event), [to_array(action) for action in actions]])
 
 
 def encode(record: Record) -> bytes:
@@ -172,7 +172,7 @@
         kind = raw[0]
         if kind == EVENT:
             _, at, event, actions = raw
-            return Call(at, unplain(event), tuple(unplain(action) for action in actions))
+            return Call(at, from_array(event), tuple(from_array(action) for action in actions))
         if kind == GAP:
             return Gap(raw[1], raw[2])
         if kind == STATE:
--- a/stonetrack/capture/compare.py
+++ b/stonetrack/capture/compare.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class DecisionChange:
     """One call that the two decide differently."""
 
     number: int
@@ -39,13 +39,13 @@
 
 
 @dataclass
-class Compared:
+class Comparison:
     """What came of a comparison."""
 
     calls: int = 0
-    set_aside: int = 0  # calls about requests that went another way before, where states can't be carried over
+    excluded_calls: int = 0  # calls about requests that went another way before, where states can't be carried over
     stepwise: bool = True
-    changes: list[Change] = field(default_factory=list)
+    changes: list[DecisionChange] = field(default_factory=list)
     causes: Counter[str] = field(default_factory=Counter)
 
 
@@ -81,7 +81,7 @@
     return f"{what}: scores or ties"
 
 
-def cause_of(
+def describe_cause(
     ours: tuple[api.Action, ...], theirs: tuple[api.Action, ...],
     our_reasons: list[explain.Reason], their_reasons: list[explain.Reason],
 ) -> str:  # fmt: skip
@@ -136,9 +136,9 @@
             return (api.Log(f"{RAISED} {type(error).__name__}: {error}"),)
 
 
-def compare(records: Iterable[tuple[int, Record]], other: Module, ours: Module | None = None) -> Compared:
+def compare(records: Iterable[tuple[int, Record]], other: Module, ours: Module | None = None) -> Comparison:
     """Tell both the same, numbered records, and collect what differs."""
-    result = Compared()
+    result = Comparison()
     one, two = _Side(ours or current()), _Side(other)
     apart: set[str] = set()
     for number, record in records:
@@ -161,17 +161,17 @@
     return result
 
 
-def _step(result: Compared, number: int, call: Call, one: _Side, two: _Side, apart: set[str]) -> None:
+def _step(result: Comparison, number: int, call: Call, one: _Side, two: _Side, apart: set[str]) -> None:
     mine, its = one.handle(call), two.handle(call)
     if mine == its:
         return
     request = _request(call, mine, its)
     if request in apart:
-        result.set_aside += 1
+        result.excluded_calls += 1
         return
-    cause = cause_of(mine, its, one.reasons, two.reasons)
+    cause = describe_cause(mine, its, one.reasons, two.reasons)
     result.causes[cause] += 1
-    result.changes.append(Change(number, call, mine, its, cause, request))
+    result.changes.append(DecisionChange(number, call, mine, its, cause, request))
     if result.stepwise:
         try:
             two.set_to(snapshot.take(one.router))
@@ -181,13 +181,13 @@
     apart.add(request)
 
 
-def table(compared: Compared, names: tuple[str, str], most: int = 12) -> Iterator[str]:
+def table(compared: Comparison, names: tuple[str, str], most: int = 12) -> Iterator[str]:
     """The comparison as lines: how many by cause, with the first of each."""
     yield f"{compared.calls} calls, {len(compared.changes)} decided otherwise by {names[1]} than by {names[0]}"
     if not compared.stepwise:
         yield (
             "  the two hold different state: each goes on by itself, and "
-            f"{compared.set_aside} later calls about the same requests are set aside"
+            f"{compared.excluded_calls} later calls about the same requests are set aside"
         )
     if not compared.causes:
         return
--- a/stonetrack/capture/history.py
+++ b/stonetrack/capture/history.py
@@ -14,49 +14,49 @@
 
 from stonetrack.capture import codec, segment
 from stonetrack.capture.codec import CaptureError, Gap, Record
-from stonetrack.capture.journal import SUFFIX
+from stonetrack.capture.journal import SEGMENT_SUFFIX
 from stonetrack.capture.segment import Block
 
 
-def router_of(path: Path) -> str:
+def router_name(path: Path) -> str:
     """The router of a segment's name: ``NAME.START`` of ``NAME.START-CLOCK.cap``."""
     return path.stem.rpartition("-")[0]
 
 
-def routers(path: Path) -> dict[str, list[Path]]:
+def segments_by_router(path: Path) -> dict[str, list[Path]]:
     """Segments by router, in order: of a folder, or one file's."""
-    files = sorted(path.glob(f"*{SUFFIX}")) if path.is_dir() else [path]
+    files = sorted(path.glob(f"*{SEGMENT_SUFFIX}")) if path.is_dir() else [path]
     found: dict[str, list[Path]] = {}
     for file in files:
-        found.setdefault(router_of(file), []).append(file)
+        found.setdefault(router_name(file), []).append(file)
     return found
 
 
 @dataclass
-class Reading:
+class HistoryReader:
     """One router's records, numbered as they were written; what is wrong is added to ``damage`` on the way."""
 
     files: list[Path]
     damage: list[str] = field(default_factory=list)
-    torn: int = 0  # tails cut by a kill: told in ``damage``, but no fault of the file
-    expected: int | None = None  # number of the next record
-    started: int = 0  # the record at which a replay began
+    torn_tails: int = 0  # tails cut by a kill: told in ``damage``, but no fault of the file
+    next_number: int | None = None  # number of the next record
+    replayed_from: int = 0  # the record at which a replay began
 
     def __iter__(self) -> Iterator[tuple[int, Record]]:
         return self.records()
 
     def records(self, first: int = 0, end: int | None = None) -> Iterator[tuple[int, Record]]:
         """The records from one number up to another; blocks wholly outside are passed over unread."""
-        self.expected = None
+        self.next_number = None
         for path in self.files:
             try:
                 data = path.read_bytes()
             except OSError as error:
                 self.damage.append(f"{path.name}: {error.strerror}")
                 continue
-            blocks, wrong = segment.scan(data)
+            blocks, wrong = segment.scan_blocks(data)
             if wrong is not None:
-                self.torn += wrong.torn
+                self.torn_tails += wrong.torn
                 self.damage.append(f"{path.name}: offset {wrong.offset}: {wrong.text}")
             for block in blocks:
                 if end is not None and block.first >= end:
@@ -65,24 +65,24 @@
                     yield from self._hole(path, block)
                 if block.first + block.records > first:
                     yield from self._block(path, data, block, first)
-                self.expected = block.first + block.records
+                self.next_number = block.first + block.records
 
     def _hole(self, path: Path, block: Block) -> Iterator[tuple[int, Record]]:
-        if self.expected is None or block.first == self.expected:
+        if self.next_number is None or block.first == self.next_number:
             return
-        lost = block.first - self.expected
+        lost = block.first - self.next_number
         if lost > 0:
             self.damage.append(
                 f"{path.name}: offset {block.offset}: {lost} records are missing before number {block.first}"
             )
         else:
             self.damage.append(f"{path.name}: offset {block.offset}: number {block.first} comes twice")
-        yield self.expected, Gap(0, max(lost, 0))
+        yield self.next_number, Gap(0, max(lost, 0))
 
     def _block(self, path: Path, data: bytes, block: Block, first: int) -> Iterator[tuple[int, Record]]:
         number = block.first
         try:
-            for raw in segment.records(data, block):
+            for raw in segment.decode_block(data, block):
                 if number >= first:
                     yield number, codec.decode(raw)
                 number += 1
@@ -91,8 +91,8 @@
             yield number, Gap(0, block.first + block.records - number)
 
 
-def read(files: list[Path], damage: list[str]) -> Iterator[Record]:
+def iter_records(files: list[Path], damage: list[str]) -> Iterator[Record]:
     """The records of one router's segments in order, without numbers."""
-    reading = Reading(files, damage)
+    reading = HistoryReader(files, damage)
     for _, record in reading:
         yield record
--- a/stonetrack/capture/index.py
+++ b/stonetrack/capture/index.py
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True)
 class Index:
-    """One segment's index; see the module.  ``size`` and ``stamp`` (its time of change) say for which file."""
+    """One segment's index; see the module.  ``size`` and ``mtime_ns`` (its time of change) say for which file."""
 
     size: int
-    stamp: int
+    mtime_ns: int
     first: NDArray[numpy.int64]
     records: NDArray[numpy.int64]
     offset: NDArray[numpy.int64]
@@ -67,7 +67,7 @@
         which = int(numpy.searchsorted(self.began, clock, side="right")) - 1
         return int(self.first[which] + self.records[which]) if which >= 0 else 0
 
-    def of_request(self, request: str) -> list[int]:
+    def blocks_of_request(self, request: str) -> list[int]:
         """The blocks (by their first record's number) that may name a request."""
         mark = numpy.uint32(fingerprint(request))
         low, high = (int(numpy.searchsorted(self.marks, mark, side=side)) for side in ("left", "right"))
@@ -76,7 +76,7 @@
     def to_bytes(self) -> bytes:
         """What the store keeps."""
         arrays = [getattr(self, name).tobytes() for name in _ARRAYS]
-        return msgspec.msgpack.encode([FORMAT, self.size, self.stamp, self.calls, self.lost, *arrays])
+        return msgspec.msgpack.encode([FORMAT, self.size, self.mtime_ns, self.calls, self.lost, *arrays])
 
 
 _ARRAYS: dict[str, Any] = {
@@ -88,16 +88,16 @@
 def from_bytes(data: bytes) -> Index:
     """The index of :meth:`Index.to_bytes`.  Raises CaptureError."""
     try:
-        form, size, stamp, calls, lost, *arrays = msgspec.msgpack.decode(data)
+        form, size, mtime_ns, calls, lost, *arrays = msgspec.msgpack.decode(data)
         if form != FORMAT or len(arrays) != len(_ARRAYS):
             raise CaptureError(f"an index of format {form}; this version reads {FORMAT}")
         made = {name: numpy.frombuffer(raw, kind) for (name, kind), raw in zip(_ARRAYS.items(), arrays, strict=True)}
     except (msgspec.MsgspecError, ValueError, TypeError) as error:
         raise CaptureError(f"an index that can't be read: {error}") from None
-    return Index(size, stamp, calls=calls, lost=lost, **made)
+    return Index(size, mtime_ns, calls=calls, lost=lost, **made)
 
 
-class Builder:
+class IndexBuilder:
     """Makes an index block by block, in order."""
 
     def __init__(self) -> None:
@@ -125,10 +125,10 @@
         self._rows.append((block.first, block.records, block.offset, began, ended))
         self._pairs += [(fingerprint(name), number) for name in names]
 
-    def made(self, size: int, stamp: int) -> Index:
+    def build(self, size: int, mtime_ns: int) -> Index:
         """The index of a file of this size and time of change."""
         rows = numpy.array(self._rows, numpy.int64).reshape(len(self._rows), 5)
         pairs = numpy.array(sorted(self._pairs), numpy.int64).reshape(len(self._pairs), 2)
         first, records, offset, began, ended = (numpy.ascontiguousarray(rows[:, n]) for n in range(5))
         marks, where = pairs[:, 0].astype(numpy.uint32), pairs[:, 1].astype(numpy.uint16)
-        return Index(size, stamp, first, records, offset, began, ended, marks, where, self._calls, self._lost)
+        return Index(size, mtime_ns, first, records, offset, began, ended, marks, where, self._calls, self._lost)
--- a/stonetrack/capture/journal.py
+++ b/stonetrack/capture/journal.py
@@ -7,9 +7,9 @@
 
     CLOSED --open--> OPEN        the first records, or those after a rotation: a new segment begins
     OPEN --rotate--> CLOSED      it is large or old enough; the next records begin another
-    OPEN, CLOSED --broke--> HOLED    an operation failed: the segment is given up, what was in hand is counted as lost
-    CLOSED, OPEN --full--> HOLED     calls came that could not be held
-    HOLED --gap told--> CLOSED   the count is written; a segment with the router's state begins after it
+    OPEN, CLOSED --failed--> GAP_PENDING    an operation failed: the segment is given up, its calls count as lost
+    CLOSED, OPEN --full--> GAP_PENDING     calls came that could not be held
+    GAP_PENDING --gap told--> CLOSED   the count is written; a segment with the router's state begins after it
 
 A sync that failed says nothing of what reached the disk: ``durable`` stands still from then on.
 
@@ -32,7 +32,7 @@
 from stonetrack.capture import codec, segment
 from stonetrack.capture.codec import Gap, Header, State
 
-SUFFIX = ".cap"
+SEGMENT_SUFFIX = ".cap"
 
 
 class Phase(Enum):
@@ -40,7 +40,7 @@
 
     CLOSED = "closed"
     OPEN = "open"
-    HOLED = "holed"
+    GAP_PENDING = "holed"
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,9 +59,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """Make the open file durable; ``folder``: its name too."""
+    """Make the open file durable; ``directory``: its name too."""
 
-    folder: bool = False
+    directory: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,27 +73,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class SegmentLimits:
     """When a segment ends: bytes, and nanoseconds since it began; whether blocks are made durable at once."""
 
     segment_bytes: int = 16 << 20
-    segment_time: int = 600_000_000_000
+    segment_ns: int = 600_000_000_000
     sync: bool = True
 
 
 class Journal:
-    """One router's capture.  :meth:`write` and :meth:`tell_gap` give operations one by one; asking for the next one
-    says that the last was done.  Where one failed, ask no further and call :meth:`broke`."""
+    """One router's capture.  :meth:`write` and :meth:`write_gap` give operations one by one; asking for the next one
+    says that the last was done.  Where one failed, ask no further and call :meth:`operation_failed`."""
 
-    def __init__(self, header: Header, bounds: Bounds) -> None:
+    def __init__(self, header: Header, bounds: SegmentLimits) -> None:
         self._header, self._bounds = header, bounds
         self.phase = Phase.CLOSED
-        self.number = 0  # of the next record
+        self.next_number = 0  # of the next record
         self.durable = 0  # records that a kill can't take any more
         self.written = 0
         self.bytes = 0
-        self.in_hand = 0  # calls that are lost if the operations under way fail
-        self.telling = 0  # calls whose loss is then still to be told
+        self.unwritten_calls = 0  # calls that are lost if the operations under way fail
+        self.unwritten_gap = 0  # calls whose loss is then still to be told
         self.name = ""
         self._size = 0
         self._opened = 0
@@ -102,16 +102,16 @@
 
     def write(self, now: int, records: Sequence[bytes]) -> Iterator[Op]:
         """Write calls, beginning a segment where none is open.  ``now`` in nanoseconds."""
-        self.in_hand = len(records)
+        self.unwritten_calls = len(records)
         if self.phase is not Phase.OPEN:
             yield from self._open(now)
         yield from self._append(records)
-        if self._size >= self._bounds.segment_bytes or now - self._opened >= self._bounds.segment_time:
+        if self._size >= self._bounds.segment_bytes or now - self._opened >= self._bounds.segment_ns:
             yield from self.close()
 
-    def tell_gap(self, now: int, count: int, state: State | None) -> Iterator[Op]:
+    def write_gap(self, now: int, count: int, state: State | None) -> Iterator[Op]:
         """Say that so many calls are missing; the state after them, where there is one, begins the next segment."""
-        self.telling = count
+        self.unwritten_gap = count
         if self.phase is not Phase.OPEN:
             yield from self._open(now)
         yield from self._append([codec.encode(Gap(now, count))])
@@ -126,37 +126,37 @@
             self.phase = Phase.CLOSED
             yield Close()
 
-    def broke(self) -> tuple[int, int]:
+    def operation_failed(self) -> tuple[int, int]:
         """An operation failed: the segment is given up (close its file).  How many calls are lost by it, and how
         many lost before are still to be told."""
-        self.phase = Phase.HOLED
-        self._unsure = self._unsure or self.number > self.durable  # appended, and the sync failed
-        lost, telling = self.in_hand, self.telling
-        self.in_hand = self.telling = 0
-        return lost, telling
+        self.phase = Phase.GAP_PENDING
+        self._unsure = self._unsure or self.next_number > self.durable  # appended, and the sync failed
+        lost, unwritten_gap = self.unwritten_calls, self.unwritten_gap
+        self.unwritten_calls = self.unwritten_gap = 0
+        return lost, unwritten_gap
 
     def _open(self, now: int) -> Iterator[Op]:
         self._clock = max(now, self._clock + 1)  # two segments never share a name, whatever the clock does
-        self.name = f"{self._header.instance}-{self._clock:020d}{SUFFIX}"
+        self.name = f"{self._header.instance}-{self._clock:020d}{SEGMENT_SUFFIX}"
         yield Open(self.name)
         yield Append(segment.MAGIC)
         if self._bounds.sync:
-            yield Sync(folder=True)
+            yield Sync(directory=True)
         self.phase, self._size, self._opened = Phase.OPEN, len(segment.MAGIC), now
-        if self.number == 0:
-            yield from self._append([codec.encode(self._header)], beside=True)
+        if self.next_number == 0:
+            yield from self._append([codec.encode(self._header)], is_header=True)
 
-    def _append(self, records: Sequence[bytes], beside: bool = False) -> Iterator[Op]:
-        """A block; ``beside``: it is not what was in hand.  Once appended it can be read, durable or not."""
-        data = segment.pack(records, self.number)
+    def _append(self, records: Sequence[bytes], is_header: bool = False) -> Iterator[Op]:
+        """A block; ``is_header``: it is not what was in hand.  Once appended it can be read, durable or not."""
+        data = segment.encode_block(records, self.next_number)
         yield Append(data)
-        if not beside:
-            self.in_hand = self.telling = 0
-        self.number += len(records)
+        if not is_header:
+            self.unwritten_calls = self.unwritten_gap = 0
+        self.next_number += len(records)
         self.written += len(records)
         self._size += len(data)
         self.bytes += len(data)
         if self._bounds.sync:
             yield Sync()
         if not self._unsure:
-            self.durable = self.number
+            self.durable = self.next_number
--- a/stonetrack/capture/tend.py
+++ b/stonetrack/capture/maintenance.py
@@ -26,40 +26,40 @@
 from pathlib import Path
 
 from stonetrack import __version__
-from stonetrack.background.plan import SECOND, Budget, Job, Step
 from stonetrack.background.runner import Runner
+from stonetrack.background.scheduler import SECOND, Budget, Job, StepResult
 from stonetrack.capture import codec, history, segment, snapshot
 from stonetrack.capture.codec import Call, CaptureError, Gap, Header, State
-from stonetrack.capture.history import Reading
-from stonetrack.capture.index import Builder
-from stonetrack.capture.journal import SUFFIX
-from stonetrack.capture.recorder import is_open, retain
-from stonetrack.capture.store import Saved, Store
+from stonetrack.capture.history import HistoryReader
+from stonetrack.capture.index import IndexBuilder
+from stonetrack.capture.journal import SEGMENT_SUFFIX
+from stonetrack.capture.recorder import delete_over_budget, is_open
+from stonetrack.capture.store import SavedState, Store
 from stonetrack.clocks import wall_time, wall_time_ns
 from stonetrack.durable import sync_directory
 from stonetrack.logic import Router
 
-PACKED = ".packing"
-BLOCKS_A_STEP = 8
-CALLS_A_STEP = 64
-PACK_BLOCK, PACK_LEVEL = 4_000, 12
-NEARLY = 0.9  # of the budget on disk
-BUDGET = "capture"
-SETTLED = 0.5  # seconds
+PACKING_SUFFIX = ".packing"
+BLOCKS_PER_STEP = 8
+CALLS_PER_STEP = 64
+PACK_BLOCK_RECORDS, PACK_LEVEL = 4_000, 12
+BUDGET_PRESSURE = 0.9  # of the budget on disk
+BUDGET_NAME = "capture"
+SETTLE_SECONDS = 0.5  # seconds
 
 
-def stepping(make: Callable[[], Iterator[int]]) -> Callable[[], Step]:
+def resumable_step(make: Callable[[], Iterator[int]]) -> Callable[[], StepResult]:
     """A job's step from a generator that yields the bytes of each step; begun anew after it raised."""
     going: list[Iterator[int]] = []
 
-    def step() -> Step:
+    def step() -> StepResult:
         if not going:
             going.append(make())
         try:
-            return Step(False, next(going[0]))
+            return StepResult(False, next(going[0]))
         except StopIteration:
             going.clear()
-            return Step(True)
+            return StepResult(True)
         except Exception:
             going.clear()
             raise
@@ -67,7 +67,7 @@
     return step
 
 
-class Tender:
+class MaintenanceRunner:
     """Tends one folder until it is stopped.  ``budget_bytes`` is the folder's on disk, ``every`` seconds between
     looks."""
 
@@ -77,19 +77,19 @@
         *,
         budget_bytes: int,
         log: Callable[[str], None],
-        share: float = 0.05,
+        cpu_share: float = 0.05,
         bytes_per_second: float = 8 << 20,
         states_every: int = 20_000,
-        every: float = 2.0,
+        scan_interval: float = 2.0,
     ) -> None:
         self.folder, self._log = folder, log
         self._disk, self._states_every = budget_bytes, states_every
         self.store = Store(folder)
         self._lock = os.open(folder / "tender.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self._mine = False
-        self.runner = Runner((Budget(BUDGET, share, bytes_per_second),), log)
-        self._retain = Job("retain", self._keep_within, BUDGET, priority=9, every=30 * SECOND)
-        self._look = Job("look", self._look_around, BUDGET, priority=5, every=int(every * SECOND))
+        self.runner = Runner((Budget(BUDGET_NAME, cpu_share, bytes_per_second),), log)
+        self._retain = Job("retain", self._keep_within, BUDGET_NAME, priority=9, repeat_after=30 * SECOND)
+        self._look = Job("look", self._look_around, BUDGET_NAME, priority=5, repeat_after=int(scan_interval * SECOND))
 
     def start(self) -> None:
         """Begin."""
@@ -103,15 +103,15 @@
         os.close(self._lock)
         self.store.close()
 
-    def once(self, tell: Callable[[str], None] = lambda text: None) -> None:
+    def run_once(self, on_progress: Callable[[str], None] = lambda text: None) -> None:
         """Do all there is to do, here and now, without a budget."""
         if not self._own():
             raise CaptureError(f"{self.folder}: somebody else tends it")
-        time.sleep(SETTLED)
+        time.sleep(SETTLE_SECONDS)
         done: set[str] = set()
         while jobs := [job for job in self._wanted() if job.name not in done]:
             for job in jobs:
-                tell(job.name)
+                on_progress(job.name)
                 while not job.step().done:
                     pass
                 done.add(job.name)
@@ -126,20 +126,20 @@
 
     # What there is to do.
 
-    def _look_around(self) -> Step:
+    def _look_around(self) -> StepResult:
         if self._own():
             there = {job.name for job in self.runner.jobs()}
             for job in self._wanted():
                 if job.name not in there:
                     self.runner.submit(job)
             used = sum(path.stat().st_size for path in self._segments())
-            if used > NEARLY * self._disk:
-                self.runner.hasten(self._retain)
-        return Step(True)
+            if used > BUDGET_PRESSURE * self._disk:
+                self.runner.expedite(self._retain)
+        return StepResult(True)
 
     def _segments(self) -> list[Path]:
         found = []
-        for path in sorted(self.folder.glob(f"*{SUFFIX}")):
+        for path in sorted(self.folder.glob(f"*{SEGMENT_SUFFIX}")):
             with contextlib.suppress(OSError):
                 path.stat()
                 found.append(path)
@@ -151,14 +151,14 @@
         for path in files:
             with contextlib.suppress(OSError):
                 # A time in the future is that of a wall clock that was set back: it must not hold the file for ever.
-                if is_open(path) or (path is files[-1] and 0 <= wall_time() - path.stat().st_mtime < SETTLED):
+                if is_open(path) or (path is files[-1] and 0 <= wall_time() - path.stat().st_mtime < SETTLE_SECONDS):
                     break
                 found.append(path)
         return found
 
     def _wanted(self) -> list[Job]:
         jobs: list[Job] = []
-        for name, files in history.routers(self.folder).items():
+        for name, files in history.segments_by_router(self.folder).items():
             closed = self._closed(files)
             noted = self.store.progress(name)
             packed = noted.get("packed", {})
@@ -176,7 +176,7 @@
         return jobs
 
     def _job(self, name: str, make: Callable[[], Iterator[int]], priority: int) -> Job:
-        return Job(name, stepping(make), BUDGET, priority)
+        return Job(name, resumable_step(make), BUDGET_NAME, priority)
 
     # The jobs.
 
@@ -184,20 +184,20 @@
         status = path.stat()
         data = path.read_bytes()
         yield len(data)
-        blocks, damage = segment.scan(data)
-        builder = Builder()
+        blocks, damage = segment.scan_blocks(data)
+        builder = IndexBuilder()
         for number, block in enumerate(blocks):
             try:
-                builder.add(block, [codec.decode(raw) for raw in segment.records(data, block)])
+                builder.add(block, [codec.decode(raw) for raw in segment.decode_block(data, block)])
             except CaptureError as error:
                 damage = damage or segment.Damage(block.offset, str(error))
-            if number % BLOCKS_A_STEP == 0:
+            if number % BLOCKS_PER_STEP == 0:
                 yield 0
-        self.store.put_index(path.name, builder.made(status.st_size, status.st_mtime_ns))
+        self.store.put_index(path.name, builder.build(status.st_size, status.st_mtime_ns))
         if damage is not None and not damage.torn:
             text = f"{path.name}: offset {damage.offset}: {damage.text}"
             self._log(f"capture: {text}")
-            self.store.note(wall_time_ns(), path.name, text)
+            self.store.add_note(wall_time_ns(), path.name, text)
 
     def _states(self, name: str, files: list[Path]) -> Iterator[int]:
         noted = self.store.progress(name)
@@ -205,7 +205,7 @@
         router: Router | None = snapshot.restore(begun.data) if begun is not None else None
         start = saved = begun.number if begun is not None else 0
         number = start - 1
-        for steps, (number, record) in enumerate(Reading(files).records(start)):
+        for steps, (number, record) in enumerate(HistoryReader(files).records(start)):
             if isinstance(record, Header):
                 router = Router(record.settings, record.seed)
             elif isinstance(record, State):
@@ -215,11 +215,11 @@
             elif router is not None:
                 if number - saved >= self._states_every:
                     saved = number
-                    self.store.put_state(Saved(name, number, record.at, __version__, snapshot.take(router)))
+                    self.store.put_state(SavedState(name, number, record.at, __version__, snapshot.take(router)))
                 if tuple(router.handle(record.at, record.event)) != record.actions:
                     self._differs(name, number, record)
                     return
-            if steps % CALLS_A_STEP == 0:
+            if steps % CALLS_PER_STEP == 0:
                 yield 0
         replayed = max(number + 1, noted.get("replayed", 0))
         self.store.put_progress(name, {**self.store.progress(name), "replayed": replayed})
@@ -227,16 +227,16 @@
     def _differs(self, name: str, number: int, record: Call) -> None:
         text = f"call {number} of {name}, at {record.at}, is decided otherwise now"
         self._log(f"capture: {text}")
-        self.store.note(wall_time_ns(), name, text)
+        self.store.add_note(wall_time_ns(), name, text)
         self.store.put_progress(name, {**self.store.progress(name), "stopped": number})
 
     def _pack(self, path: Path, router: str) -> Iterator[int]:
         data = path.read_bytes()
         yield len(data)
-        blocks, damage = segment.scan(data)
+        blocks, damage = segment.scan_blocks(data)
         size = len(data)
         if damage is None and blocks:
-            aside = path.with_suffix(PACKED)
+            aside = path.with_suffix(PACKING_SUFFIX)
             try:
                 yield from self._pack_into(aside, data, blocks)
                 size = aside.stat().st_size
@@ -248,7 +248,7 @@
                 aside.unlink(missing_ok=True)
         noted = self.store.progress(router)
         packed = {**noted.get("packed", {}), path.name: [len(data), min(size, len(data))]}
-        there = {each.name for each in self.folder.glob(f"{router}-*{SUFFIX}")}
+        there = {each.name for each in self.folder.glob(f"{router}-*{SEGMENT_SUFFIX}")}
         self.store.put_progress(router, {**noted, "packed": {n: v for n, v in packed.items() if n in there}})
 
     def _pack_into(self, aside: Path, data: bytes, blocks: list[segment.Block]) -> Iterator[int]:
@@ -257,30 +257,30 @@
             waiting: list[bytes] = []
             first = expected = blocks[0].first
             for block in blocks:
-                if waiting and (block.first != expected or len(waiting) >= PACK_BLOCK):
-                    out.write(packed := segment.pack(waiting, first, PACK_LEVEL))
+                if waiting and (block.first != expected or len(waiting) >= PACK_BLOCK_RECORDS):
+                    out.write(packed := segment.encode_block(waiting, first, PACK_LEVEL))
                     yield len(packed)
                     waiting, first = [], block.first
-                waiting += segment.records(data, block)
+                waiting += segment.decode_block(data, block)
                 expected = block.first + block.records
-            out.write(packed := segment.pack(waiting, first, PACK_LEVEL))
+            out.write(packed := segment.encode_block(waiting, first, PACK_LEVEL))
             yield len(packed)
             out.flush()
             os.fsync(out.fileno())
 
-    def _keep_within(self) -> Step:
+    def _keep_within(self) -> StepResult:
         if not self._own():
-            return Step(True)
-        for aside in self.folder.glob(f"*{PACKED}"):  # left by a kill; no job of ours runs while this one does
-            if f"pack:{aside.stem}{SUFFIX}" not in {job.name for job in self.runner.jobs()}:
+            return StepResult(True)
+        for aside in self.folder.glob(f"*{PACKING_SUFFIX}"):  # left by a kill; no job of ours runs while this one does
+            if f"pack:{aside.stem}{SEGMENT_SUFFIX}" not in {job.name for job in self.runner.jobs()}:
                 aside.unlink(missing_ok=True)
-        gone = retain(self.folder, self._disk)
+        gone = delete_over_budget(self.folder, self._disk)
         for name in gone:
-            router = history.router_of(Path(name))
-            paths = history.routers(self.folder).get(router, [])
+            router = history.router_name(Path(name))
+            paths = history.segments_by_router(self.folder).get(router, [])
             left = [made for path in paths if (made := self.store.index_of(path)) is not None]
             first = min((int(made.first[0]) for made in left if len(made.first)), default=0)
-            self.store.forget([name], router, first)
+            self.store.delete_segments([name], router, first)
         if gone:
             self._log(f"capture: {len(gone)} segments deleted for the budget of {self._disk} bytes")
-        return Step(True)
+        return StepResult(True)
--- a/stonetrack/capture/parallel.py
+++ b/stonetrack/capture/parallel.py
@@ -15,8 +15,8 @@
 
 from stonetrack.capture import history, snapshot
 from stonetrack.capture.codec import CaptureError, Record, State
-from stonetrack.capture.history import Reading
-from stonetrack.capture.replay import run
+from stonetrack.capture.history import HistoryReader
+from stonetrack.capture.replay import replay_numbered
 from stonetrack.capture.store import Store
 
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class PieceResult:
     """What came of a piece; ``difference`` is the number of the first call decided otherwise, or of a state not
     reached."""
 
@@ -43,14 +43,14 @@
     damage: tuple[str, ...] = ()
 
 
-def pieces(folder: Path, jobs: int) -> list[Piece]:
+def split_into_pieces(folder: Path, jobs: int) -> list[Piece]:
     """All routers' pieces, each about a ``jobs``-th of its router's history.  Raises CaptureError without a store."""
-    store = Store.there(folder)
+    store = Store.open_existing(folder)
     if store is None:
         raise CaptureError(f"{folder}: no states to cut at; `stonetrack capture tend {folder}` makes them")
     found: list[Piece] = []
     with store:
-        for name in history.routers(folder):
+        for name in history.segments_by_router(folder):
             numbers = [state.number for state in store.states(name)]
             step = max(1, len(numbers) // (2 * jobs))
             cuts = [0, *numbers[step - 1 :: step]]
@@ -59,32 +59,34 @@
     return found
 
 
-def replay_piece(piece: Piece) -> Outcome:
+def replay_piece(piece: Piece) -> PieceResult:
     """Replay one piece in this process."""
     with Store(piece.folder) as store:
         begun = store.state_before(piece.router, piece.first) if piece.first else None
         ends = store.state_before(piece.router, piece.end) if piece.end is not None else None
-    reading = Reading(history.routers(piece.folder)[piece.router])
+    reading = HistoryReader(history.segments_by_router(piece.folder)[piece.router])
 
     def records() -> Iterator[tuple[int, Record]]:
         if begun is not None:
             yield begun.number, State(begun.at, begun.version, begun.data)
         yield from ((n, r) for n, r in reading.records(piece.first, piece.end) if piece.end is None or n < piece.end)
 
-    result = run(records())
+    result = replay_numbered(records())
     difference = result.difference.number if result.difference is not None else None
     if difference is None and ends is not None and result.router is not None:
         same = ends.number == piece.end and snapshot.take(result.router) == ends.data
         difference = None if same else piece.end
-    return Outcome(piece, result.calls, result.skipped, result.missing, difference, tuple(reading.damage))
+    return PieceResult(piece, result.calls, result.skipped, result.missing, difference, tuple(reading.damage))
 
 
-def replay_folder(folder: Path, jobs: int, tell: Callable[[int, int], None] = lambda done, of: None) -> list[Outcome]:
-    """Replay all pieces by so many processes; outcomes in order.  ``tell``: pieces done, of all."""
-    wanted = pieces(folder, jobs)
-    done: list[Outcome] = []
+def replay_folder(
+    folder: Path, jobs: int, on_progress: Callable[[int, int], None] = lambda done, of: None
+) -> list[PieceResult]:
+    """Replay all pieces by so many processes; outcomes in order.  ``on_progress``: pieces done, of all."""
+    wanted = split_into_pieces(folder, jobs)
+    done: list[PieceResult] = []
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
         for future in as_completed([pool.submit(replay_piece, piece) for piece in wanted]):
             done.append(future.result())
-            tell(len(done), len(wanted))
+            on_progress(len(done), len(wanted))
     return sorted(done, key=lambda outcome: (outcome.piece.router, outcome.piece.first))
--- a/stonetrack/capture/recorder.py
+++ b/stonetrack/capture/recorder.py
@@ -1,11 +1,11 @@
 """The thread that writes captures: it carries out what :mod:`.journal` says, off the hot path.
 
-``note`` only appends to a bounded queue; the thread turns what is there into blocks, one each ``flush`` seconds or
+``record`` only appends to a bounded queue; the thread turns what is there into blocks, one each ``flush`` seconds or
 ``block`` records.  When the queue is full, or the disk is, calls are counted instead: the node never waits.  Once
 the thread has caught up, the count is written and the router's state is taken whole, between two calls (``still``),
 so that what follows can be replayed; so it is where the router goes on under other settings
-(:meth:`Recorder.went_on`).  The open segment is locked (``flock``), so that who tends the folder knows that it is
-being written.
+(:meth:`Recorder.settings_changed`).  The open segment is locked (``flock``), so that who tends the folder knows
+that it is being written.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from stonetrack import api
 from stonetrack.capture import codec
 from stonetrack.capture.codec import CaptureError, Header, State
-from stonetrack.capture.journal import SUFFIX, Append, Bounds, Close, Journal, Op, Open, Sync
-from stonetrack.capture.retention import Held, to_delete
+from stonetrack.capture.journal import SEGMENT_SUFFIX, Append, Close, Journal, Op, Open, SegmentLimits, Sync
+from stonetrack.capture.retention import SegmentFile, segments_to_delete
 from stonetrack.capture.store import Store
 from stonetrack.durable import sync_directory
 
@@ -40,21 +40,21 @@
     return False
 
 
-def retain(folder: Path, budget: int) -> list[str]:
+def delete_over_budget(folder: Path, budget: int) -> list[str]:
     """Delete the oldest segments past the budget; what is kept or being written stays.  The names that went."""
     kept: dict[str, str] = {}
-    if (store := Store.there(folder)) is not None:
+    if (store := Store.open_existing(folder)) is not None:
         with store:
-            kept = store.kept()
-    held: list[Held] = []
-    for path in folder.glob(f"*{SUFFIX}"):
+            kept = store.kept_segments()
+    held: list[SegmentFile] = []
+    for path in folder.glob(f"*{SEGMENT_SUFFIX}"):
         with contextlib.suppress(OSError, ValueError):
             began = int(path.stem.rpartition("-")[2])
-            held.append(Held(path.name, path.stat().st_size, began, path.name in kept))
+            held.append(SegmentFile(path.name, path.stat().st_size, began, path.name in kept))
     if sum(each.bytes for each in held) <= budget:
         return []
-    held = [Held(h.name, h.bytes, h.began, h.kept, is_open(folder / h.name)) for h in held]
-    gone = to_delete(held, budget)
+    held = [SegmentFile(h.name, h.bytes, h.began, h.kept, is_open(folder / h.name)) for h in held]
+    gone = segments_to_delete(held, budget)
     for name in gone:
         (folder / name).unlink(missing_ok=True)
     return gone
@@ -64,18 +64,19 @@
     """Records one router's calls into a folder.  ``flush`` and ``segment_seconds`` in seconds."""
 
     def __init__(self, folder: Path, header: Header, clock: Callable[[], int], *, log: Callable[[str], None],
-                 flush: float = 0.25, block: int = 2_000, waiting: int = 50_000, segment_bytes: int = 16 << 20,
-                 segment_seconds: float = 600.0, budget_bytes: int = 256 << 20, sync: bool = True) -> None:  # fmt: skip
+                 flush_interval: float = 0.25, block_records: int = 2_000, max_queued: int = 50_000,
+                 segment_bytes: int = 16 << 20, segment_seconds: float = 600.0, budget_bytes: int = 256 << 20,
+                 sync: bool = True) -> None:  # fmt: skip
         self.folder, self._header, self._clock, self._log = folder, header, clock, log
-        self._flush, self._block, self._most, self._budget = flush, block, waiting, budget_bytes
-        self._journal = Journal(header, Bounds(segment_bytes, int(segment_seconds * 1e9), sync))
+        self._flush, self._block, self._most, self._budget = flush_interval, block_records, max_queued, budget_bytes
+        self._journal = Journal(header, SegmentLimits(segment_bytes, int(segment_seconds * 1e9), sync))
         self._still: Callable[[Callable[[], None]], None] | None = None
         self._snapshot: Callable[[], bytes] | None = None
         self._queue: deque[tuple[int, api.Event, Sequence[api.Action]] | State] = deque()
         self._wake = threading.Event()
         self._stopping = False
-        self._lost = 0  # calls not taken, since the last gap was written
-        self.lost = 0  # in all
+        self._lost_since_gap = 0  # calls not taken, since the last gap was written
+        self.lost_calls = 0  # in all
         self._file: int | None = None
         self._said = ""
         self._thread = threading.Thread(target=self._run, name="capture", daemon=True)
@@ -90,7 +91,7 @@
         """Records that a kill can't take any more."""
         return self._journal.durable
 
-    def after_gaps(self, still: Callable[[Callable[[], None]], None], snapshot: Callable[[], bytes]) -> None:
+    def enable_gap_recovery(self, still: Callable[[Callable[[], None]], None], snapshot: Callable[[], bytes]) -> None:
         """Go on after a gap: ``still`` runs something between two calls, ``snapshot`` is what the router holds then."""
         self._still, self._snapshot = still, snapshot
 
@@ -105,28 +106,28 @@
         if self._thread.ident is not None:
             self._thread.join(10.0)
 
-    def note(self, at: int, event: api.Event, actions: Sequence[api.Action]) -> None:
+    def record(self, at: int, event: api.Event, actions: Sequence[api.Action]) -> None:
         """Take one call; never waits."""
-        if self._lost or len(self._queue) >= self._most:
-            self._lost += 1
-            self.lost += 1
+        if self._lost_since_gap or len(self._queue) >= self._most:
+            self._lost_since_gap += 1
+            self.lost_calls += 1
             return
         self._queue.append((at, event, actions))
         if len(self._queue) == self._block:
             self._wake.set()
 
-    def went_on(self, take: Callable[[], bytes]) -> None:
+    def settings_changed(self, take: Callable[[], bytes]) -> None:
         """The router goes on under other settings, between two calls: what follows is replayed from its state now.
 
         Without one the calls that follow count as after a gap."""
-        if self._lost:
+        if self._lost_since_gap:
             return  # the state after the gap will be taken under these settings
         try:
             self._queue.append(State(self._clock(), self._header.version, take()))
         except CaptureError as error:
             self._log(f"capture: no snapshot under other settings: {error}")
-            self._lost += 1
-            self.lost += 1
+            self._lost_since_gap += 1
+            self.lost_calls += 1
 
     # The thread.
 
@@ -136,7 +137,7 @@
             self._wake.clear()
             stopping = self._stopping
             try:
-                while self._queue or self._lost:
+                while self._queue or self._lost_since_gap:
                     self._write()
                     self._said = ""
             except OSError as error:
@@ -155,7 +156,7 @@
             self._carry_out(self._journal.write(self._clock(), records))
             return
         count, state = self._resume()
-        self._carry_out(self._journal.tell_gap(self._clock(), count, state))
+        self._carry_out(self._journal.write_gap(self._clock(), count, state))
 
     def _carry_out(self, ops: Iterator[Op]) -> None:
         for op in ops:
@@ -166,9 +167,9 @@
                     done = 0
                     while done < len(data):
                         done += os.write(self._descriptor(), data[done:])
-                case Sync(folder):
+                case Sync(directory):
                     os.fdatasync(self._descriptor())
-                    if folder:
+                    if directory:
                         sync_directory(self.folder)
                 case Close():
                     self._release()
@@ -184,7 +185,7 @@
         self._file = os.open(self.folder / name, flags, 0o600)
         fcntl.flock(self._file, fcntl.LOCK_EX)  # waits for a look of who tends at most
         with contextlib.suppress(CaptureError):  # a store that can't be read must not stop the capture
-            retain(self.folder, self._budget)
+            delete_over_budget(self.folder, self._budget)
 
     def _release(self) -> None:
         if self._file is not None:
@@ -197,13 +198,13 @@
         if str(error) != self._said:
             self._said = str(error)
             self._log(f"capture: {error}; calls are not recorded")
-        in_hand, telling = self._journal.broke()
+        unwritten_calls, unwritten_gap = self._journal.operation_failed()
 
         def drop() -> None:
             dropped = sum(not isinstance(each, State) for each in self._queue)
             self._queue.clear()
-            self._lost += dropped + in_hand + telling
-            self.lost += dropped + in_hand
+            self._lost_since_gap += dropped + unwritten_calls + unwritten_gap
+            self.lost_calls += dropped + unwritten_calls
 
         self._between(drop)
         self._release()
@@ -218,7 +219,7 @@
         def now() -> None:
             if self._snapshot is not None:
                 taken.append(State(self._clock(), self._header.version, self._snapshot()))
-            gap[0], self._lost = self._lost, 0
+            gap[0], self._lost_since_gap = self._lost_since_gap, 0
 
         try:
             self._between(now)
@@ -229,7 +230,7 @@
         return gap[0], taken[0] if taken else None
 
     def _between(self, do: Callable[[], None]) -> None:
-        """Between two calls of ``note``, which other threads make."""
+        """Between two calls of ``record``, which other threads make."""
         if self._still is not None:
             self._still(do)
         else:
--- a/stonetrack/capture/redact.py
+++ b/stonetrack/capture/redact.py
@@ -25,10 +25,10 @@
 from stonetrack.capture.codec import Call, Gap, Header, Record, State
 from stonetrack.logic import Router
 
-NAMES = {"request": "q", "session": "s", "shared_beginning": "b", "server": "e"}
+NAME_PREFIXES = {"request": "q", "session": "s", "shared_beginning": "b", "server": "e"}
 
 
-def keyed(key: bytes, kind: str, name: str) -> str:
+def keyed_name(key: bytes, kind: str, name: str) -> str:
     """A name's stand-in: 16 hexadecimal digits after a letter for its kind."""
     if not name:
         return name
@@ -36,12 +36,12 @@
     return f"{kind}{digest.hexdigest()}"
 
 
-def settings_without_names(settings: api.Settings, key: bytes) -> api.Settings:
+def redact_settings(settings: api.Settings, key: bytes) -> api.Settings:
     """Settings with classes and tenants under keyed names; nothing else is changed."""
     return dataclasses.replace(
         settings,
-        classes=tuple(dataclasses.replace(c, name=keyed(key, "c", c.name)) for c in settings.classes),
-        tenants=tuple(dataclasses.replace(t, name=keyed(key, "t", t.name)) for t in settings.tenants),
+        classes=tuple(dataclasses.replace(c, name=keyed_name(key, "c", c.name)) for c in settings.classes),
+        tenants=tuple(dataclasses.replace(t, name=keyed_name(key, "t", t.name)) for t in settings.tenants),
     )
 
 
@@ -49,8 +49,8 @@
     """Take out the names that decide nothing.  A state holds class names too: they are replaced within it."""
     for record in records:
         if isinstance(record, Header):
-            settings = settings_without_names(record.settings, key)
-            yield Header(record.version, keyed(key, "i", record.instance), record.seed, settings)
+            settings = redact_settings(record.settings, key)
+            yield Header(record.version, keyed_name(key, "i", record.instance), record.seed, settings)
         elif isinstance(record, State):
             yield State(record.at, record.version, _state(record.data, key))
         else:
@@ -59,8 +59,8 @@
 
 def _state(data: bytes, key: bytes) -> bytes:
     form, settings, pools, state = msgspec.msgpack.decode(data)
-    names = {c["name"]: keyed(key, "c", c["name"]) for c in settings["classes"]}
-    plain = msgspec.to_builtins(settings_without_names(msgspec.convert(settings, api.Settings), key))
+    names = {c["name"]: keyed_name(key, "c", c["name"]) for c in settings["classes"]}
+    plain = msgspec.to_builtins(redact_settings(msgspec.convert(settings, api.Settings), key))
 
     def walk(value: Any) -> Any:
         if isinstance(value, list):
@@ -73,20 +73,20 @@
 
 
 @dataclass
-class Renamed:
+class RenameResult:
     """What renaming came to."""
 
     calls: int = 0
-    otherwise: int = 0  # decided otherwise under the new names
-    left_out: int = 0  # snapshots, and calls after a gap, which can't be renamed
+    changed_decisions: int = 0  # decided otherwise under the new names
+    omitted_records: int = 0  # snapshots, and calls after a gap, which can't be renamed
 
 
 def _rename(thing: Any, key: bytes) -> Any:
     changes: dict[str, Any] = {}
     for field in dataclasses.fields(thing):
         value = getattr(thing, field.name)
-        if field.name in NAMES and isinstance(value, str):
-            changes[field.name] = keyed(key, NAMES[field.name], value)
+        if field.name in NAME_PREFIXES and isinstance(value, str):
+            changes[field.name] = keyed_name(key, NAME_PREFIXES[field.name], value)
         elif field.name == "entries":
             changes[field.name] = tuple(_rename(each, key) for each in value)
         elif isinstance(thing, api.Log):
@@ -94,7 +94,7 @@
     return dataclasses.replace(thing, **changes)
 
 
-def rename(records: Iterable[Record], key: bytes, result: Renamed) -> Iterator[Record]:
+def rename(records: Iterable[Record], key: bytes, result: RenameResult) -> Iterator[Record]:
     """Give everything new names and decide anew; see the module."""
     router: Router | None = None
     for record in redact(records, key):
@@ -103,20 +103,20 @@
             yield record
         elif isinstance(record, (State, Gap)):
             router = None
-            result.left_out += isinstance(record, State)
+            result.omitted_records += isinstance(record, State)
             if isinstance(record, Gap):
                 yield record
         elif router is None:
-            result.left_out += 1
+            result.omitted_records += 1
         else:
             event = _rename(record.event, key)
             actions = tuple(router.handle(record.at, event))
             result.calls += 1
-            result.otherwise += actions != tuple(_rename(a, key) for a in record.actions)
+            result.changed_decisions += actions != tuple(_rename(a, key) for a in record.actions)
             yield Call(record.at, event, actions)
 
 
-def text(number: int, record: Record) -> bytes:
+def to_json(number: int, record: Record) -> bytes:
     """A record as one line of JSON."""
     match record:
         case Header(version, instance, seed, settings):
--- a/stonetrack/capture/replay.py
+++ b/stonetrack/capture/replay.py
@@ -21,11 +21,11 @@
 
     number: int
     call: Call
-    now: tuple[api.Action, ...]
+    replayed_actions: tuple[api.Action, ...]
 
 
 @dataclass
-class Replayed:
+class ReplayResult:
     """What came of a replay."""
 
     calls: int = 0
@@ -38,31 +38,31 @@
     router: Any = None  # as it was left; None after a gap
 
     @property
-    def same(self) -> bool:
+    def matches(self) -> bool:
         """Whether every call that could be replayed was decided as before."""
         return self.difference is None
 
 
-def replay(records: Iterable[Record], make: Make = Router, **more: Any) -> Replayed:
-    """:func:`run`, for records that are numbered from 0."""
-    return run(enumerate(records), make, **more)
+def replay(records: Iterable[Record], make: Make = Router, **more: Any) -> ReplayResult:
+    """:func:`replay_numbered`, for records that are numbered from 0."""
+    return replay_numbered(enumerate(records), make, **more)
 
 
-def run(
+def replay_numbered(
     records: Iterable[tuple[int, Record]],
     make: Make = Router,
     *,
     until: int | None = None,
     request: str = "",
-    look: Callable[[int, Call, Any], None] | None = None,
+    on_call: Callable[[int, Call, Any], None] | None = None,
     restore_class: type | None = None,
-) -> Replayed:
+) -> ReplayResult:
     """Replay to the first difference (in the calls about ``request``, if given), or to a time.
 
-    ``look`` sees each call, with its record's number, and the router after it; ``restore_class`` is what a snapshot is
-    made into.
+    ``on_call`` sees each call, with its record's number, and the router after it; ``restore_class`` is what a snapshot
+    is made into.
     """
-    result = Replayed()
+    result = ReplayResult()
     router: Any = None
     for number, record in records:
         if isinstance(record, Header):
@@ -81,8 +81,8 @@
                 return result
             now = tuple(router.handle(record.at, record.event))
             result.calls += 1
-            if look is not None:
-                look(number, record, router)
+            if on_call is not None:
+                on_call(number, record, router)
             mine = not request or codec.request_of(record.event) == request
             if mine and now != record.actions:
                 result.difference = Difference(number, record, now)
@@ -100,5 +100,5 @@
             found.extend(lines(reasons))
         reasons.clear()
 
-    run(((n, r) for n, r in records if n <= number), cls, look=look, restore_class=cls)
+    replay_numbered(((n, r) for n, r in records if n <= number), cls, on_call=look, restore_class=cls)
     return found
--- a/stonetrack/capture/retention.py
+++ b/stonetrack/capture/retention.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class SegmentFile:
     """One segment on disk; ``began`` is the clock of its name."""
 
     name: str
@@ -22,7 +22,7 @@
     open: bool = False
 
 
-def to_delete(segments: Iterable[Held], budget: int) -> list[str]:
+def segments_to_delete(segments: Iterable[SegmentFile], budget: int) -> list[str]:
     """Names to delete, oldest first; fewer than would reach the budget where the rest may not go."""
     found = sorted(segments, key=lambda s: (s.began, s.name))
     total = sum(s.bytes for s in found)
--- a/stonetrack/capture/segment.py
+++ b/stonetrack/capture/segment.py
@@ -4,7 +4,7 @@
 the body (4 bytes), length unpacked (4), records (4), number of the first record (8), xxh64 of head and body (8), zeros
 (4).  The body is zstandard over records, each with its length before it (4 bytes).  The checksum covers the head's
 fields too, so that a flipped bit anywhere is found.  A block is what is made durable at once: a kill within one leaves
-a tail that :func:`scan` cuts off and tells.
+a tail that :func:`scan_blocks` cuts off and tells.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 _HEAD = struct.Struct("<IIIQ")
 _SUM = struct.Struct("<Q")
 HEAD_BYTES = _HEAD.size + _SUM.size + 4
-MOST = 64 << 20  # bytes of a block unpacked
+MAX_BLOCK_BYTES = 64 << 20  # bytes of a block unpacked
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     torn: bool = False  # the tail that a kill leaves
 
 
-def pack(records: Iterable[bytes], first: int, level: int = 3) -> bytes:
+def encode_block(records: Iterable[bytes], first: int, level: int = 3) -> bytes:
     """One block."""
     parts = []
     count = 0
@@ -62,7 +62,7 @@
     return xxhash.xxh64_intdigest(body, seed=xxhash.xxh64_intdigest(head) & 0xFFFFFFFF)
 
 
-def scan(data: bytes | memoryview) -> tuple[list[Block], Damage | None]:
+def scan_blocks(data: bytes | memoryview) -> tuple[list[Block], Damage | None]:
     """The blocks that are whole, and the first damage.  Reading goes on after a damaged block where its head can be
     trusted to say where the next begins; a torn tail ends it."""
     if len(data) < len(MAGIC) and MAGIC.startswith(bytes(data)):
@@ -79,7 +79,7 @@
         head = bytes(data[at : at + _HEAD.size])
         size, raw, count, first = _HEAD.unpack(head)
         whole = HEAD_BYTES + size
-        if size > MOST or raw > MOST or left < whole:
+        if size > MAX_BLOCK_BYTES or raw > MAX_BLOCK_BYTES or left < whole:
             return blocks, damage or Damage(at, f"torn: {left} of {whole} bytes of a block", True)
         (told,) = _SUM.unpack_from(data, at + _HEAD.size)
         if _checksum(head, bytes(data[at + HEAD_BYTES : at + whole])) == told:
@@ -90,11 +90,11 @@
     return blocks, damage
 
 
-def records(data: bytes | memoryview, block: Block) -> Iterator[bytes]:
+def decode_block(data: bytes | memoryview, block: Block) -> Iterator[bytes]:
     """A block's records.  Raises CaptureError."""
     body = bytes(data[block.offset + HEAD_BYTES : block.offset + block.size])
     try:
-        raw = zstandard.ZstdDecompressor().decompress(body, max_output_size=MOST)
+        raw = zstandard.ZstdDecompressor().decompress(body, max_output_size=MAX_BLOCK_BYTES)
     except zstandard.ZstdError as error:
         raise CaptureError(f"offset {block.offset}: {error}") from None
     at = 0
--- a/stonetrack/capture/store.py
+++ b/stonetrack/capture/store.py
@@ -25,13 +25,13 @@
 if TYPE_CHECKING:  # numpy is a quarter of a second that an instance, which only asks for marks, need not pay
     from stonetrack.capture.index import Index
 
-NAME = "store"
-MAP = 16 << 30  # bytes of address space; the file grows as needed
+STORE_DIRECTORY = "store"
+MAX_MAP_BYTES = 16 << 30  # bytes of address space; the file grows as needed
 _TABLES = (b"segments", b"states", b"marks", b"notes", b"cases", b"jobs")
 
 
 @dataclass(frozen=True, slots=True)
-class Saved:
+class SavedState:
     """A router's state kept for seeking: what it held before record ``number``."""
 
     router: str
@@ -71,8 +71,8 @@
 class Store:
     """A folder's store.  Raises CaptureError where it can't be opened or written."""
 
-    def __init__(self, folder: Path, *, map_bytes: int = MAP) -> None:
-        self.path = folder.resolve() / NAME
+    def __init__(self, folder: Path, *, map_bytes: int = MAX_MAP_BYTES) -> None:
+        self.path = folder.resolve() / STORE_DIRECTORY
         self._closed = True
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -84,10 +84,10 @@
             raise CaptureError(f"{self.path}: {error}") from None
 
     @classmethod
-    def there(cls, folder: Path) -> Store | None:
+    def open_existing(cls, folder: Path) -> Store | None:
         """The store of a folder that has one.  Raises CaptureError where it can't be opened: who is to delete must
         not take that for no marks."""
-        return cls(folder) if (folder / NAME / "data.mdb").exists() else None
+        return cls(folder) if (folder / STORE_DIRECTORY / "data.mdb").exists() else None
 
     def close(self) -> None:
         """Let go of it."""
@@ -139,13 +139,13 @@
             return None
         found = index.from_bytes(raw)
         status = path.stat()
-        return found if (found.size, found.stamp) == (status.st_size, status.st_mtime_ns) else None
+        return found if (found.size, found.mtime_ns) == (status.st_size, status.st_mtime_ns) else None
 
     def put_index(self, name: str, made: Index) -> None:
         """Keep a segment's index."""
         self._put([(b"segments", name, made.to_bytes())])
 
-    def forget(self, names: list[str], router: str = "", before: int = 0) -> None:
+    def delete_segments(self, names: list[str], router: str = "", before: int = 0) -> None:
         """Segments are gone: their indexes, and the router's snapshots but the last before what is left."""
         changes: list[tuple[bytes, str, bytes | None]] = [(b"segments", name, None) for name in names]
         old = [s.number for s in self.states(router) if s.number <= before] if router else []
@@ -154,19 +154,21 @@
 
     # Snapshots.
 
-    def put_state(self, state: Saved) -> None:
+    def put_state(self, state: SavedState) -> None:
         """Keep a router's state."""
         data = zstandard.ZstdCompressor(level=3).compress(state.data)
         value = msgspec.msgpack.encode([state.at, state.version, data])
         self._put([(b"states", f"{state.router}/{state.number:020d}", value)])
 
-    def states(self, router: str) -> Iterator[Saved]:
+    def states(self, router: str) -> Iterator[SavedState]:
         """A router's states in order."""
         for key, value in self._all(b"states", f"{router}/"):
             at, version, data = msgspec.msgpack.decode(value)
-            yield Saved(router, int(key.rpartition("/")[2]), at, version, zstandard.ZstdDecompressor().decompress(data))
+            yield SavedState(
+                router, int(key.rpartition("/")[2]), at, version, zstandard.ZstdDecompressor().decompress(data)
+            )
 
-    def state_before(self, router: str, number: int) -> Saved | None:
+    def state_before(self, router: str, number: int) -> SavedState | None:
         """The last state at or before a record."""
         start = f"{router}/{number:020d}".encode()
         with self._env.begin() as transaction, transaction.cursor(db=self._table[b"states"]) as cursor:
@@ -177,25 +179,25 @@
             if name != router:
                 return None
             at, version, data = msgspec.msgpack.decode(bytes(cursor.value()))
-        return Saved(router, int(found), at, version, zstandard.ZstdDecompressor().decompress(data))
+        return SavedState(router, int(found), at, version, zstandard.ZstdDecompressor().decompress(data))
 
     # Marks and notes.
 
-    def keep(self, name: str, why: str) -> None:
+    def mark_kept(self, name: str, why: str) -> None:
         """Mark a segment as kept: retention never deletes it."""
         self._put([(b"marks", name, why.encode())])
 
-    def let_go(self, name: str) -> bool:
+    def unmark_kept(self, name: str) -> bool:
         """Take a mark back; whether there was one."""
         had = self._get(b"marks", name) is not None
         self._put([(b"marks", name, None)])
         return had
 
-    def kept(self) -> dict[str, str]:
+    def kept_segments(self) -> dict[str, str]:
         """Marked segments and why."""
         return {name: why.decode() for name, why in self._all(b"marks")}
 
-    def note(self, at: int, about: str, text: str) -> None:
+    def add_note(self, at: int, about: str, text: str) -> None:
         """Add a note about a segment or a request."""
         self._put([(b"notes", f"{at:020d}/{about}"[:480], text.encode())])
 
--- a/stonetrack/cli/capture.py
+++ b/stonetrack/cli/capture.py
@@ -13,30 +13,30 @@
 from stonetrack.capture import compare, explain, history, parallel, revision, seek
 from stonetrack.capture import replay as again
 from stonetrack.capture.codec import Call, CaptureError, Gap, Header, Record, State
-from stonetrack.capture.history import Reading
+from stonetrack.capture.history import HistoryReader
 from stonetrack.capture.index import requests_of
-from stonetrack.capture.journal import SUFFIX
+from stonetrack.capture.journal import SEGMENT_SUFFIX
 from stonetrack.capture.store import Store
 
 FOLDER = click.Path(exists=True, path_type=Path)
 Numbered = Iterable[tuple[int, Record]]
 
 
-class Refusal(click.ClickException):
+class CommandError(click.ClickException):
     """An error in plain words; exit code 2."""
 
     exit_code = 2
 
 
-def segments(path: Path) -> dict[str, list[Path]]:
-    """Segments by router.  Raises Refusal where there is none."""
-    found = history.routers(path)
+def segments_or_error(path: Path) -> dict[str, list[Path]]:
+    """Segments by router.  Raises CommandError where there is none."""
+    found = history.segments_by_router(path)
     if not found:
-        raise Refusal(f"{path}: no segments (*{SUFFIX}) here")
+        raise CommandError(f"{path}: no segments (*{SEGMENT_SUFFIX}) here")
     return found
 
 
-def say(damage: list[str]) -> None:
+def print_damage(damage: list[str]) -> None:
     """Print what is wrong with the files."""
     for text in damage:
         click.echo(f"  damage: {text}")
@@ -52,11 +52,11 @@
 def ls(folder: Path) -> None:
     """List routers and their segments; by the index where there is one."""
     try:
-        store = Store.there(folder) if folder.is_dir() else None
+        store = Store.open_existing(folder) if folder.is_dir() else None
     except CaptureError as error:
-        raise Refusal(str(error)) from None
-    kept = store.kept() if store else {}
-    for name, files in segments(folder).items():
+        raise CommandError(str(error)) from None
+    kept = store.kept_segments() if store else {}
+    for name, files in segments_or_error(folder).items():
         size = sum(file.stat().st_size for file in files)
         click.echo(f"{name}: {len(files)} segments, {size} bytes")
         for file in files:
@@ -80,15 +80,15 @@
 def verify(folder: Path) -> None:
     """Read everything; exit code 1 on damage other than a tail torn by a kill."""
     bad = 0
-    for name, files in segments(folder).items():
-        reading = Reading(files)
+    for name, files in segments_or_error(folder).items():
+        reading = HistoryReader(files)
         records = lost = 0
         for _, record in reading:
             records += 1
             lost += record.count if isinstance(record, Gap) else 0
         click.echo(f"{name}: {records} records, {lost} missing; {'damaged' if reading.damage else 'good'}")
-        say(reading.damage)
-        bad += len(reading.damage) > reading.torn
+        print_damage(reading.damage)
+        bad += len(reading.damage) > reading.torn_tails
     sys.exit(1 if bad else 0)
 
 
@@ -98,13 +98,13 @@
 @click.option("--most", type=click.IntRange(1), default=1_000, show_default=True)
 def show(folder: Path, request: str, most: int) -> None:
     """Print calls and what was decided."""
-    for name, files in segments(folder).items():
-        reading = Reading(files)
+    for name, files in segments_or_error(folder).items():
+        reading = HistoryReader(files)
         found = reading.records() if not request else seek.about(folder, reading, request)
         click.echo(name)
         for _, line in zip(range(most), _lines(found, request), strict=False):
             click.echo(f"  {line}")
-        say(reading.damage)
+        print_damage(reading.damage)
 
 
 def _lines(records: Numbered, request: str) -> Iterator[str]:
@@ -126,7 +126,7 @@
 @click.option("--at", "revision_name", default="now", help="As this revision of the module would have decided.")
 def explain_request(folder: Path, request: str, revision_name: str) -> None:
     """Why REQUEST went where it went: what was known, each candidate's scores, the exceptions that acted."""
-    module = module_at(revision_name)
+    module = load_module(revision_name)
     cls, reasons = explain.traced(module.logic.Router)
     shown = 0
 
@@ -142,35 +142,37 @@
                 click.echo(f"    -> {action}")
         reasons.clear()
 
-    for name, files in segments(folder).items():
-        reading = Reading(files)
+    for name, files in segments_or_error(folder).items():
+        reading = HistoryReader(files)
         found = seek.about(folder, reading, request, whole=True)
         before = shown
-        result = again.run(
+        result = again.replay_numbered(
             found,
             partial(module.make, cls=cls),
-            look=look,
+            on_call=look,
             restore_class=cls if module.native else None,
             request=request,
         )
         if shown > before:
-            click.echo(f"{name}: {shown - before} calls about {request}; replayed from record {reading.started}")
-            say(reading.damage)
-            if (other := result.difference) is not None:
-                click.echo(f"  from call {other.number} on {module.name} decides otherwise: {plain(other.now)}")
+            click.echo(f"{name}: {shown - before} calls about {request}; replayed from record {reading.replayed_from}")
+            print_damage(reading.damage)
+            if (diff := result.difference) is not None:
+                click.echo(
+                    f"  from call {diff.number} on {module.name} decides otherwise: {actions_text(diff.replayed_actions)}"
+                )
     if not shown:
-        raise Refusal(f"{folder}: no call about request {request!r} that can be replayed")
+        raise CommandError(f"{folder}: no call about request {request!r} that can be replayed")
 
 
-def module_at(name: str) -> revision.Module:
-    """A revision's module.  Raises Refusal."""
+def load_module(name: str) -> revision.Module:
+    """A revision's module.  Raises CommandError."""
     try:
         return revision.load(name)
     except (CaptureError, OSError) as error:
-        raise Refusal(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
-def plain(actions: Iterable[object]) -> str:
+def actions_text(actions: Iterable[object]) -> str:
     """Actions as one line."""
     return "; ".join(map(str, actions)) or "nothing"
 
@@ -189,17 +191,19 @@
     """
     if jobs > 1:
         if until is not None or since is not None or request or against:
-            raise Refusal("--jobs replays all there is; allowed with it: no --until, --since, --request or --against")
+            raise CommandError(
+                "--jobs replays all there is; allowed with it: no --until, --since, --request or --against"
+            )
         sys.exit(_parallel(folder, jobs))
     differs = 0
-    for name, files in segments(folder).items():
-        reading = Reading(files)
+    for name, files in segments_or_error(folder).items():
+        reading = HistoryReader(files)
         begin = partial(seek.since, folder, reading, since) if since is not None else reading.records
         if against:
-            differs += _against(name, begin(), module_at(against), until)
+            differs += _against(name, begin(), load_module(against), until)
         else:
             differs += _again(name, begin, until, request)
-        say(reading.damage)
+        print_damage(reading.damage)
     sys.exit(1 if differs else 0)
 
 
@@ -211,13 +215,13 @@
     try:
         outcomes = parallel.replay_folder(folder, jobs, tell)
     except CaptureError as error:
-        raise Refusal(str(error)) from None
+        raise CommandError(str(error)) from None
     differs = 0
-    for name in segments(folder):
+    for name in segments_or_error(folder):
         mine = [outcome for outcome in outcomes if outcome.piece.router == name]
         calls, skipped, missing = (sum(getattr(o, what) for o in mine) for what in ("calls", "skipped", "missing"))
         click.echo(f"{name}: {calls} calls replayed in {len(mine)} pieces, {skipped} skipped, {missing} missing")
-        say(sorted({text for outcome in mine for text in outcome.damage}))
+        print_damage(sorted({text for outcome in mine for text in outcome.damage}))
         if wrong := [o.difference for o in mine if o.difference is not None]:
             differs += 1
             click.echo(f"  first difference: record {min(wrong)}; replay without --jobs shows the scores behind it")
@@ -225,13 +229,13 @@
 
 
 def _again(name: str, begin: Callable[[], Numbered], until: int | None, request: str) -> int:
-    result = again.run(begin(), until=until, request=request)
+    result = again.replay_numbered(begin(), until=until, request=request)
     click.echo(f"{name}: {result.calls} calls replayed, {result.skipped} skipped, {result.missing} missing")
     if (found := result.difference) is None:
         return 0
     click.echo(f"  first difference: call {found.number} at {found.call.at}: {found.call.event}")
-    click.echo(f"    captured: {plain(found.call.actions)}")
-    click.echo(f"    now:      {plain(found.now)}")
+    click.echo(f"    captured: {actions_text(found.call.actions)}")
+    click.echo(f"    now:      {actions_text(found.replayed_actions)}")
     for line in again.reasons_at(begin(), found.number):
         click.echo(f"      {line}")
     return 1
--- a/stonetrack/cli/capture_changes.py
+++ b/stonetrack/cli/capture_changes.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from stonetrack.capture.codec import CaptureError
+from stonetrack.capture.maintenance import MaintenanceRunner
 from stonetrack.capture.store import Store
-from stonetrack.capture.tend import Tender
-from stonetrack.cli.capture import FOLDER, Refusal, capture, module_at, plain, segments
+from stonetrack.cli.capture import FOLDER, CommandError, actions_text, capture, load_module, segments_or_error
 from stonetrack.clocks import wall_time_ns
 
 
@@ -20,7 +20,7 @@
     try:
         return Store(folder)
     except CaptureError as error:
-        raise Refusal(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
 @click.command("keep")
@@ -30,17 +30,17 @@
 @click.option("--no-more", is_flag=True, help="Take the mark back.")
 def keep(folder: Path, segment: str, why: str, no_more: bool) -> None:
     """Mark SEGMENT (a file's name, or a router's for all of its) so that it is never deleted for the budget."""
-    rooms = segments(folder)
+    rooms = segments_or_error(folder)
     names = [path.name for files in rooms.values() for path in files]
     chosen = [path.name for path in rooms.get(segment, [])] or [name for name in names if name == segment]
     if not chosen:
-        raise Refusal(f"{folder}: no segment or router {segment!r}; allowed: {', '.join([*rooms, *names][:20])}")
+        raise CommandError(f"{folder}: no segment or router {segment!r}; allowed: {', '.join([*rooms, *names][:20])}")
     with _store(folder) as store:
         for name in chosen:
             if no_more:
-                store.let_go(name)
+                store.unmark_kept(name)
             else:
-                store.keep(name, why)
+                store.mark_kept(name, why)
             click.echo(f"{name}: {'no longer kept' if no_more else 'kept'}")
 
 
@@ -51,7 +51,7 @@
 def note(folder: Path, about: str, text: str) -> None:
     """Add a note ABOUT a request, a router or a segment; ls shows it."""
     with _store(folder) as store:
-        store.note(wall_time_ns(), about, text)
+        store.add_note(wall_time_ns(), about, text)
 
 
 @click.command("tend")
@@ -62,13 +62,13 @@
     """Index, check, replay and pack all that is closed, at once; the node's supervisor does it bit by bit."""
     said: list[str] = []
     try:
-        tender = Tender(folder, budget_bytes=budget, log=said.append, states_every=states_every)
+        tender = MaintenanceRunner(folder, budget_bytes=budget, log=said.append, states_every=states_every)
     except CaptureError as error:
-        raise Refusal(str(error)) from None
+        raise CommandError(str(error)) from None
     try:
-        tender.once((lambda text: click.echo(text, err=True)) if os.isatty(2) else lambda text: None)
+        tender.run_once((lambda text: click.echo(text, err=True)) if os.isatty(2) else lambda text: None)
     except CaptureError as error:
-        raise Refusal(str(error)) from None
+        raise CommandError(str(error)) from None
     finally:
         tender.stop()
     for line in said:
@@ -87,17 +87,17 @@
     """Make a small case of the first decision on which two revisions differ."""
     from stonetrack.capture import case, history, revision
 
-    rooms = segments(folder)
+    rooms = segments_or_error(folder)
     if router not in rooms and (router or len(rooms) > 1):
-        raise Refusal(f"{folder}: --router {router!r}; allowed: {', '.join(rooms)}")
+        raise CommandError(f"{folder}: --router {router!r}; allowed: {', '.join(rooms)}")
     name = router or next(iter(rooms))
     try:
         old, new = revision.load(old_name), revision.load(new_name)
-        header, events = case.history_of(history.read(rooms[name], []))
-        made = case.cut(header, events, old, new, title=title, fixed_by=new.name, found=found,
-                        tell=lambda text: click.echo(text, err=True))  # fmt: skip
+        header, events = case.recorded_history(history.iter_records(rooms[name], []))
+        made = case.cut_case(header, events, old, new, title=title, fixed_by=new.name, found=found,
+                        on_progress=lambda text: click.echo(text, err=True))  # fmt: skip
     except CaptureError as error:
-        raise Refusal(str(error)) from None
+        raise CommandError(str(error)) from None
     out.write_bytes(case.encode(made))
     if folder.is_dir():
         with _store(folder) as store:
@@ -114,20 +114,24 @@
 
     files = sorted(folder.glob("*.case")) if folder.is_dir() else [folder]
     if not files:
-        raise Refusal(f"{folder}: no cases (*.case) here")
-    module = module_at(revision_name)
+        raise CommandError(f"{folder}: no cases (*.case) here")
+    module = load_module(revision_name)
     worst = 0
     for path in files:
         try:
             made = case.decode(path.read_bytes())
         except CaptureError as error:
-            raise Refusal(f"{path.name}: {error}") from None
-        ran = case.run(made, module.make)
+            raise CommandError(f"{path.name}: {error}") from None
+        ran = case.run_case(made, module.make)
         worst = max(worst, int(ran.verdict != "fixed"))
         click.echo(f"{path.name}: {ran.verdict} ({made.title}; mended by {made.fixed_by})")
         if ran.verdict != "fixed":
-            for label, actions in (("then", made.then), ("now", made.now), (module.name, ran.last)):
-                click.echo(f"  {label + ':':<10} {plain(actions)}")
+            for label, actions in (
+                ("then", made.faulty_actions),
+                ("now", made.fixed_actions),
+                (module.name, ran.last_actions),
+            ):
+                click.echo(f"  {label + ':':<10} {actions_text(actions)}")
     sys.exit(worst)
 
 
@@ -139,17 +143,17 @@
 def export(folder: Path, since: int | None, until: int | None, request: str) -> None:
     """Print records as lines of JSON."""
     from stonetrack.capture import redact, seek
-    from stonetrack.capture.history import Reading
+    from stonetrack.capture.history import HistoryReader
     from stonetrack.capture.index import requests_of
 
-    for name, files in segments(folder).items():
-        reading = Reading(files)
+    for name, files in segments_or_error(folder).items():
+        reading = HistoryReader(files)
         for number, record in seek.about(folder, reading, request) if request else reading.records():
             at = getattr(record, "at", 0)
             if (since is not None and at < since) or (until is not None and at > until):
                 continue
             if not request or request in requests_of(record):
-                line = redact.text(number, record)
+                line = redact.to_json(number, record)
                 click.echo(b'{"router":' + msgspec.json.encode(name) + b"," + line[1:])
         for text in reading.damage:
             click.echo(f"damage: {text}", err=True)
@@ -168,18 +172,18 @@
     """
     from stonetrack.capture import redact, replay, segment
     from stonetrack.capture.codec import Record, encode
-    from stonetrack.capture.history import Reading, read
-    from stonetrack.capture.journal import SUFFIX
+    from stonetrack.capture.history import HistoryReader, iter_records
+    from stonetrack.capture.journal import SEGMENT_SUFFIX
 
     if out.exists() and any(out.iterdir()):
-        raise Refusal(f"{out}: not empty; allowed: an empty folder, or one that is not there yet")
+        raise CommandError(f"{out}: not empty; allowed: an empty folder, or one that is not there yet")
     out.mkdir(parents=True, exist_ok=True)
     secret = key.encode() or os.urandom(32)
-    for index, files in enumerate(segments(folder).values()):
-        reading, counts = Reading(files), redact.Renamed()
+    for index, files in enumerate(segments_or_error(folder).values()):
+        reading, counts = HistoryReader(files), redact.RenameResult()
         records = (record for _, record in reading)
         changed = redact.rename(records, secret, counts) if rename else redact.redact(records, secret)
-        path = out / f"redacted.{index}-{0:020d}{SUFFIX}"
+        path = out / f"redacted.{index}-{0:020d}{SEGMENT_SUFFIX}"
         batch: list[Record] = []
         number = 0
         with path.open("wb") as file:
@@ -187,15 +191,17 @@
             for record in changed:
                 batch.append(record)
                 if len(batch) == 2_000:
-                    file.write(segment.pack(map(encode, batch), number))
+                    file.write(segment.encode_block(map(encode, batch), number))
                     number, batch = number + len(batch), []
-            file.write(segment.pack(map(encode, batch), number))
-        result = replay.replay(read([path], []))
-        if not result.same:
+            file.write(segment.encode_block(map(encode, batch), number))
+        result = replay.replay(iter_records([path], []))
+        if not result.matches:
             path.unlink()
-            raise Refusal(f"{files[0].name}: it is decided otherwise by this module already; replay it first")
-        said = f", {counts.otherwise} of {counts.calls} decided otherwise under their new names" if rename else ""
-        left = f", {counts.left_out} records left out" if counts.left_out else ""
+            raise CommandError(f"{files[0].name}: it is decided otherwise by this module already; replay it first")
+        said = (
+            f", {counts.changed_decisions} of {counts.calls} decided otherwise under their new names" if rename else ""
+        )
+        left = f", {counts.omitted_records} records left out" if counts.omitted_records else ""
         click.echo(f"{path.name}: {result.calls} calls replay the same{said}{left}")
 
 
--- a/stonetrack/controller/captures.py
+++ b/stonetrack/controller/captures.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from stonetrack.capture.recorder import retain
+from stonetrack.capture.recorder import delete_over_budget
 from stonetrack.durable import save
 from stonetrack.election.fence import NOBODY, Fence, Token
 
@@ -24,6 +24,6 @@
         known = msgspec.json.decode(path.read_bytes(), type=Token) if path.exists() else NOBODY
         fence = Fence(f"captures in {folder}", known)
         fence.admit(token, lambda fresh: save(path, msgspec.json.encode(fresh)))
-        return retain(folder, budget)
+        return delete_over_budget(folder, budget)
     finally:
         os.close(lock)
--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -32,7 +32,7 @@
 from stonetrack.capture import snapshot
 from stonetrack.capture.codec import Header
 from stonetrack.capture.recorder import Recorder
-from stonetrack.capture.redact import settings_without_names
+from stonetrack.capture.redact import redact_settings
 from stonetrack.clocks import node_clock
 from stonetrack.control.documents import NOTHING, Document
 from stonetrack.daemon import meters
@@ -119,7 +119,7 @@
         self.core = Core(router, clock, log=log, probe=self._probe, record=self._records(), acting_version=mark)
         self._hints = FailureHints(last_success_lookup(lambda: getattr(router, "servers", {})))
         if self.recorder is not None and isinstance(router, Router):
-            self.recorder.after_gaps(self.core.run_exclusively, lambda: snapshot.take(router))
+            self.recorder.enable_gap_recovery(self.core.run_exclusively, lambda: snapshot.take(router))
         self.engines = EngineClient(settings, clock, name, self.core.handle_event, self.core.acting_version_of)
         self.bounds = bounds(settings)
         self.engines.background.start()
@@ -152,7 +152,7 @@
         def between_two_events() -> None:
             router.adopt(laid)
             if self.recorder is not None:
-                self.recorder.went_on(lambda: snapshot.take(router))
+                self.recorder.settings_changed(lambda: snapshot.take(router))
             self.version = version
             if self._keeper is not None or settings.control.mark:
                 self.acting = structs.replace(self.acting, settings=named(settings, version))
@@ -183,7 +183,7 @@
 
     def _records(self) -> Callable[[int, api.Event, list[api.Action]], None] | None:
         """Who is told of every decision under the core's lock."""
-        capture = self.recorder.note if self.recorder is not None else None
+        capture = self.recorder.record if self.recorder is not None else None
         if self._keeper is None and not self.settings.control.mark:
             return capture
 
@@ -213,11 +213,11 @@
         wanted = settings.capture
         if not wanted.dir:
             return None
-        told = settings_without_names(router_settings(settings, index, instances), hash_key(settings))
+        told = redact_settings(router_settings(settings, index, instances), hash_key(settings))
         header = Header(__version__, f"{name}.{clock()}", seed, told)
         made = Recorder(
-            Path(wanted.dir), header, clock, log=log, flush=wanted.flush_ms / 1_000.0, waiting=wanted.waiting,
-            segment_bytes=wanted.segment_bytes, segment_seconds=wanted.segment_seconds,
+            Path(wanted.dir), header, clock, log=log, flush_interval=wanted.flush_ms / 1_000.0,
+            max_queued=wanted.waiting, segment_bytes=wanted.segment_bytes, segment_seconds=wanted.segment_seconds,
             budget_bytes=wanted.budget_bytes, sync=wanted.sync)  # fmt: skip
         made.start()
         return made
@@ -530,7 +530,7 @@
         yield meters.counts("actions", "Actions the router decided", "action", dict(current.core.actions))
         if current.recorder is not None:
             yield meters.counts("capture_records", "Calls of the router, by what became of them", "what",
-                                {"written": current.recorder.written, "lost": current.recorder.lost})  # fmt: skip
+                                {"written": current.recorder.written, "lost": current.recorder.lost_calls})  # fmt: skip
         yield meters.counts("list_questions", "Questions to the list service, by how they ended", "how",
                             dict(self._source.poll_results))  # fmt: skip
         steps = self._source.steps
--- a/stonetrack/daemon/supervisor.py
+++ b/stonetrack/daemon/supervisor.py
@@ -36,7 +36,7 @@
 from stonetrack.settings import Node, SettingsError, load
 
 if TYPE_CHECKING:
-    from stonetrack.capture.tend import Tender
+    from stonetrack.capture.maintenance import MaintenanceRunner
 
 FIRST_PAUSE, LONGEST_PAUSE, STEADY = 0.1, 5.0, 10.0
 
@@ -77,7 +77,7 @@
         self._wake_read, self._wake_write = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
         self._signals: list[int] = []
         self._told_ready = False
-        self._tender: Tender | None = None
+        self._tender: MaintenanceRunner | None = None
         if settings.state_dir:
             Path(settings.state_dir).mkdir(parents=True, exist_ok=True)
         self.name = node_name(settings)
@@ -189,11 +189,11 @@
         if not wanted.dir or not wanted.tend_share:
             return
         from stonetrack.capture.codec import CaptureError
-        from stonetrack.capture.tend import Tender
+        from stonetrack.capture.maintenance import MaintenanceRunner
 
         try:
-            self._tender = Tender(
-                Path(wanted.dir), budget_bytes=wanted.budget_bytes, log=self.log.warning, share=wanted.tend_share,
+            self._tender = MaintenanceRunner(
+                Path(wanted.dir), budget_bytes=wanted.budget_bytes, log=self.log.warning, cpu_share=wanted.tend_share,
                 bytes_per_second=float(wanted.tend_bytes_per_second), states_every=wanted.states_every)  # fmt: skip
             self._tender.start()
         except (CaptureError, OSError) as error:
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stonetrack.background.plan import SECOND, Budget, Job, Plan, State, Step
 from stonetrack.background.runner import Runner
-from stonetrack.background.wheel import REACH, Timer, Wheel
+from stonetrack.background.scheduler import SECOND, Budget, Job, JobState, Scheduler, StepResult
+from stonetrack.background.timer_wheel import REACH, Timer, TimerWheel
 from tests.harness import wait_for
 
 MS = 1_000_000
@@ -28,7 +28,7 @@
 @settings(max_examples=300, deadline=None)
 @given(st.integers(0, 1 << 40), st.integers(1, 7), STEPS)
 def test_a_wheel_gives_out_what_a_plain_list_would(start: int, tick: int, steps: list[tuple[str, int]]) -> None:
-    wheel: Wheel[int] = Wheel(start, tick)
+    wheel: TimerWheel[int] = TimerWheel(start, tick)
     plain: dict[int, int] = {}
     timers: list[Timer[int]] = []
     now = start
@@ -53,16 +53,16 @@
 
 
 def test_a_timer_past_the_wheels_reach_is_neither_early_nor_lost() -> None:
-    wheel: Wheel[str] = Wheel(0, 1)
+    wheel: TimerWheel[str] = TimerWheel(0, 1)
     wheel.add(REACH * 3 + 5, "far")
     assert wheel.advance(REACH * 3 + 4) == []
     assert wheel.advance(REACH * 3 + 5) == ["far"] and len(wheel) == 0
     with pytest.raises(ValueError, match="tick: 0; allowed"):
-        Wheel(0, 0)
+        TimerWheel(0, 0)
 
 
 def job(name: str, budget: str = "b", **more: object) -> Job:
-    return Job(name, lambda: Step(True), budget, **more)  # type: ignore[arg-type]
+    return Job(name, lambda: StepResult(True), budget, **more)  # type: ignore[arg-type]
 
 
 class Played:
@@ -70,17 +70,17 @@
 
     def __init__(self, *budgets: Budget, **more: int) -> None:
         self.now = 0
-        self.plan = Plan(0, budgets, **more)
+        self.plan = Scheduler(0, budgets, **more)
         self.ran: list[tuple[int, str]] = []
 
-    def until(self, end: int, took: Callable[[Job], int], step: Callable[[Job], Step | None]) -> None:
+    def until(self, end: int, took: Callable[[Job], int], step: Callable[[Job], StepResult | None]) -> None:
         for _ in range(100_000):
-            found = self.plan.next(self.now)
+            found = self.plan.next_job(self.now)
             if isinstance(found, Job):
                 self.ran.append((self.now, found.name))
                 cost = took(found)
                 self.now += cost
-                self.plan.ran(self.now, found, cost, step(found), "broken")
+                self.plan.record_step(self.now, found, cost, step(found), "broken")
             elif found is None or found >= end:
                 return
             else:
@@ -102,7 +102,7 @@
         used.append((played.now, cost))
         return cost
 
-    played.until(6 * SECOND, took, lambda each: Step(False))
+    played.until(6 * SECOND, took, lambda each: StepResult(False))
     for i, (start, _) in enumerate(used[::5]):
         spent = 0
         for at, cost in used[5 * i :]:
@@ -115,7 +115,7 @@
 def test_bytes_are_a_budget_of_their_own() -> None:
     played = Played(Budget("b", share=0.0, bytes_per_second=1_000_000, burst_seconds=0.1))
     played.plan.submit(0, job("j"))
-    played.until(10 * SECOND, lambda each: 1, lambda each: Step(False, 50_000))
+    played.until(10 * SECOND, lambda each: 1, lambda each: StepResult(False, 50_000))
     assert 9.5e6 <= sum(50_000 for _ in played.ran) <= 10.3e6
 
 
@@ -123,7 +123,7 @@
     played = Played(Budget("b", share=0.0), aging=SECOND)
     played.plan.submit(0, job("low", priority=0))
     played.plan.submit(0, job("high", priority=3))
-    played.until(20 * SECOND, lambda each: 10 * MS, lambda each: Step(False))
+    played.until(20 * SECOND, lambda each: 10 * MS, lambda each: StepResult(False))
     names = [name for _, name in played.ran]
     assert names[:100] == ["high"] * 100
     assert 4 <= names.count("low") <= 12
@@ -131,40 +131,40 @@
 
 def test_a_deadline_overdraws_its_budget_so_far_and_no_further() -> None:
     for deadline, least, most in ((None, 95, 105), (5 * SECOND, 115, 126)):
-        played = Played(Budget("b", share=0.1, burst_seconds=0.1, debt=2.0))
+        played = Played(Budget("b", share=0.1, burst_seconds=0.1, max_debt_seconds=2.0))
         played.plan.submit(0, job("j", deadline=deadline))
-        played.until(10 * SECOND, lambda each: 10 * MS, lambda each: Step(False))
+        played.until(10 * SECOND, lambda each: 10 * MS, lambda each: StepResult(False))
         assert least <= len(played.ran) <= most
     # What is late runs before what is merely important.
     played = Played(Budget("b", share=0.0))
     played.plan.submit(0, job("important", priority=9))
     played.plan.submit(0, job("late", deadline=0))
-    assert isinstance(first := played.plan.next(0), Job) and first.name == "late"
+    assert isinstance(first := played.plan.next_job(0), Job) and first.name == "late"
 
 
 def test_a_failing_job_is_tried_again_ever_later_then_given_up() -> None:
     played = Played(Budget("b", share=0.0))
-    failing = job("bad", tries=4)
+    failing = job("bad", max_attempts=4)
     played.plan.submit(0, failing)
-    played.plan.submit(0, job("good", every=SECOND))
-    played.until(30 * SECOND, lambda each: 1, lambda each: Step(True) if each.name == "good" else None)
+    played.plan.submit(0, job("good", repeat_after=SECOND))
+    played.until(30 * SECOND, lambda each: 1, lambda each: StepResult(True) if each.name == "good" else None)
     at = [when // SECOND for when, name in played.ran if name == "bad"]
-    assert at == [0, 1, 3, 7] and failing.state is State.ENDED and failing.error == "broken"
+    assert at == [0, 1, 3, 7] and failing.state is JobState.ENDED and failing.error == "broken"
     assert len([1 for _, name in played.ran if name == "good"]) >= 29
     assert list(played.plan.jobs) == ["good"]
 
 
 def test_what_was_cancelled_never_runs_and_what_is_hastened_runs_at_once() -> None:
-    plan = Plan(0, (Budget("b", share=0.0),))
+    plan = Scheduler(0, (Budget("b", share=0.0),))
     one, two = job("one"), job("two")
     plan.submit(0, one, due=5 * SECOND)
     plan.submit(0, two, due=5 * SECOND)
     plan.cancel(one)
-    plan.hasten(0, two, deadline=0)
-    assert plan.next(1 * MS) is two
+    plan.expedite(0, two, deadline=0)
+    assert plan.next_job(1 * MS) is two
     plan.cancel(two)
-    plan.ran(2 * MS, two, 1, Step(False))
-    assert plan.next(60 * SECOND) is None and two.state is State.ENDED
+    plan.record_step(2 * MS, two, 1, StepResult(False))
+    assert plan.next_job(60 * SECOND) is None and two.state is JobState.ENDED
     with pytest.raises(ValueError, match="budget 'x'; allowed: b"):
         plan.submit(0, job("three", budget="x"))
     plan.submit(0, job("three"))
@@ -177,25 +177,25 @@
     left = [3]
     done = threading.Event()
 
-    def work() -> Step:
+    def work() -> StepResult:
         left[0] -= 1
         if not left[0]:
             done.set()
-        return Step(not left[0], 10)
+        return StepResult(not left[0], 10)
 
-    def broken() -> Step:
+    def broken() -> StepResult:
         raise OSError("no such disk")
 
     runner = Runner((Budget("b", share=0.0),), said.append)
-    runner.submit(Job("broken", broken, "b", tries=1))
+    runner.submit(Job("broken", broken, "b", max_attempts=1))
     counted = Job("work", work, "b")
     runner.submit(counted)
-    later = Job("later", lambda: Step(True), "b")
+    later = Job("later", lambda: StepResult(True), "b")
     runner.submit(later, delay=3_600 * SECOND)
     runner.start()
     assert done.wait(10.0) and wait_for(lambda: [j.name for j in runner.jobs()] == ["later"])
     assert counted.steps == 3 and counted.bytes == 30
     assert said == ["background: broken given up after 1 tries: OSError: no such disk"]
-    runner.hasten(later)
+    runner.expedite(later)
     assert wait_for(lambda: not runner.jobs())
     runner.stop()
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -16,7 +16,7 @@
 from stonetrack import api
 from stonetrack.capture import codec, segment, snapshot
 from stonetrack.capture.codec import Call, CaptureError, Gap, Header
-from stonetrack.capture.history import Reading, read
+from stonetrack.capture.history import HistoryReader, iter_records
 from stonetrack.capture.recorder import Recorder
 from stonetrack.capture.replay import replay
 from stonetrack.capture.store import Store
@@ -66,10 +66,10 @@
 
 def write(folder: Path, made: list[Call], **more: object) -> Recorder:
     told: list[str] = []
-    writer = Recorder(folder, HEADER, time.time_ns, log=told.append, flush=0.01, **more)  # type: ignore[arg-type]
+    writer = Recorder(folder, HEADER, time.time_ns, log=told.append, flush_interval=0.01, **more)  # type: ignore[arg-type]
     writer.start()
     for call in made:
-        writer.note(call.at, call.event, call.actions)
+        writer.record(call.at, call.event, call.actions)
         while len(writer._queue) > 1_000:
             time.sleep(0.001)
     writer.stop()
@@ -92,14 +92,14 @@
 
 def test_a_capture_replays_to_the_same_decisions(tmp_path: Path) -> None:
     made = calls(2_000)
-    write(tmp_path, made, segment_bytes=4_000, block=200)
+    write(tmp_path, made, segment_bytes=4_000, block_records=200)
     assert len(files(tmp_path)) > 2
     damage: list[str] = []
-    records = list(read(files(tmp_path), damage))
+    records = list(iter_records(files(tmp_path), damage))
     assert records == [HEADER, *made] and not damage
     for _ in range(2):
         result = replay(records)
-        assert result.calls == 2_000 and result.same
+        assert result.calls == 2_000 and result.matches
 
 
 def test_another_module_shows_as_the_first_difference() -> None:
@@ -114,19 +114,19 @@
     assert result.difference is not None and result.difference.number == first + 1
     assert result.difference.call == made[first]
     request = codec.request_of(made[first].event)
-    assert replay([HEADER, *made], Other, request="nobody").same
-    assert not replay([HEADER, *made], Other, request=request).same
-    assert replay([HEADER, *made], Other, until=made[first].at - 1).same
+    assert replay([HEADER, *made], Other, request="nobody").matches
+    assert not replay([HEADER, *made], Other, request=request).matches
+    assert replay([HEADER, *made], Other, until=made[first].at - 1).matches
 
 
 def test_a_file_cut_at_any_byte_loses_only_its_tail(tmp_path: Path) -> None:
-    write(tmp_path, calls(60), block=10)
+    write(tmp_path, calls(60), block_records=10)
     (path,) = files(tmp_path)
     data = path.read_bytes()
-    blocks, damage = segment.scan(data)
+    blocks, damage = segment.scan_blocks(data)
     assert damage is None and len(blocks) >= 6
     for at in range(len(data)):
-        whole, torn = segment.scan(data[:at])
+        whole, torn = segment.scan_blocks(data[:at])
         assert whole == [b for b in blocks if b.offset + b.size <= at]
         ends = {len(segment.MAGIC), *(b.offset + b.size for b in blocks)}
         assert (torn is None) == (at in ends)
@@ -135,17 +135,17 @@
 
 
 def test_a_flipped_bit_is_found_and_named_and_the_rest_stays_readable(tmp_path: Path) -> None:
-    write(tmp_path, calls(60), block=10)
+    write(tmp_path, calls(60), block_records=10)
     (path,) = files(tmp_path)
     data = path.read_bytes()
-    blocks, _ = segment.scan(data)
+    blocks, _ = segment.scan_blocks(data)
     draw = random.Random(1)
     for _ in range(300):
         at = draw.randrange(len(segment.MAGIC), len(data))
         flipped = bytearray(data)
         flipped[at] ^= 1 << draw.randrange(8)
         path.write_bytes(flipped)
-        reading = Reading([path])
+        reading = HistoryReader([path])
         records = [record for _, record in reading]
         hit = next(b for b in blocks if b.offset <= at < b.offset + b.size)
         if at in range(hit.offset + 28, hit.offset + 32):
@@ -158,21 +158,21 @@
         if after and hit.first and not length_hit:
             gaps = [record for record in records if isinstance(record, Gap)]
             assert [gap.count for gap in gaps] == [hit.records] and len(records) == 61 - hit.records + 1
-            assert replay(records).same
+            assert replay(records).matches
 
 
 def test_what_can_not_be_taken_is_counted_and_said(tmp_path: Path) -> None:
     made = calls(300)
-    writer = Recorder(tmp_path, HEADER, time.time_ns, log=lambda text: None, waiting=100)
+    writer = Recorder(tmp_path, HEADER, time.time_ns, log=lambda text: None, max_queued=100)
     for call in made:
-        writer.note(call.at, call.event, call.actions)
+        writer.record(call.at, call.event, call.actions)
     writer.start()
     writer.stop()
-    records = list(read(files(tmp_path), []))
+    records = list(iter_records(files(tmp_path), []))
     assert records[:101] == [HEADER, *made[:100]]
-    assert isinstance(records[101], Gap) and records[101].count == 200 == writer.lost
+    assert isinstance(records[101], Gap) and records[101].count == 200 == writer.lost_calls
     result = replay(records)
-    assert result.calls == 100 and result.missing == 200 and result.same
+    assert result.calls == 100 and result.missing == 200 and result.matches
 
 
 def test_a_full_disk_never_stops_the_node_and_is_said_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -186,18 +186,18 @@
 
     monkeypatch.setattr(os, "write", no_room)
     told: list[str] = []
-    writer = Recorder(tmp_path, HEADER, time.time_ns, log=told.append, flush=0.01)
+    writer = Recorder(tmp_path, HEADER, time.time_ns, log=told.append, flush_interval=0.01)
     writer.start()
     made = calls(200)
     start = time.monotonic()
     for call in made:
-        writer.note(call.at, call.event, call.actions)
+        writer.record(call.at, call.event, call.actions)
     assert time.monotonic() - start < 1.0
-    assert wait_for(lambda: writer.lost == 200)
+    assert wait_for(lambda: writer.lost_calls == 200)
     full = False
     writer.stop()
     assert len(told) == 1 and "No space left" in told[0]
-    found = list(read(files(tmp_path), []))
+    found = list(iter_records(files(tmp_path), []))
     assert sum(r.count for r in found if isinstance(r, Gap)) == 200
 
 
@@ -213,27 +213,27 @@
 
     monkeypatch.setattr(os, "write", little_room)
     made = calls(200)
-    writer = Recorder(tmp_path, HEADER, time.time_ns, log=lambda text: None, flush=0.01, block=50)
+    writer = Recorder(tmp_path, HEADER, time.time_ns, log=lambda text: None, flush_interval=0.01, block_records=50)
     for call in made:
-        writer.note(call.at, call.event, call.actions)
+        writer.record(call.at, call.event, call.actions)
     writer.start()
     writer.stop()
     damage: list[str] = []
-    records = list(read(files(tmp_path), damage))
+    records = list(iter_records(files(tmp_path), damage))
     found = sum(isinstance(r, Call) for r in records)
-    assert found + sum(r.count for r in records if isinstance(r, Gap)) == 200 and writer.lost == 200 - found
-    assert len(damage) == 1 and "torn" in damage[0] and replay(records).same
+    assert found + sum(r.count for r in records if isinstance(r, Gap)) == 200 and writer.lost_calls == 200 - found
+    assert len(damage) == 1 and "torn" in damage[0] and replay(records).matches
 
 
 def test_the_oldest_go_past_the_budget_but_never_one_that_is_kept(tmp_path: Path) -> None:
-    write(tmp_path, calls(1_500), segment_bytes=3_000, block=200, budget_bytes=1 << 30)
+    write(tmp_path, calls(1_500), segment_bytes=3_000, block_records=200, budget_bytes=1 << 30)
     before = files(tmp_path)
     with Store(tmp_path) as store:
-        store.keep(before[1].name, "the weekend")
+        store.mark_kept(before[1].name, "the weekend")
     sizes = sum(path.stat().st_size for path in before[-2:])
     writer = Recorder(tmp_path, HEADER, time.time_ns, log=lambda text: None, budget_bytes=sizes)
     writer.start()
-    writer.note(1, api.TimerFired(0), ())
+    writer.record(1, api.TimerFired(0), ())
     writer.stop()
     left = files(tmp_path)
     assert before[1] in left and before[0] not in left and len(left) < len(before)
@@ -248,19 +248,19 @@
         with lock:
             do()
 
-    writer = Recorder(tmp_path, HEADER, time.time_ns, log=lambda text: None, waiting=100, flush=0.01)
-    writer.after_gaps(still, lambda: snapshot.take(router))
+    writer = Recorder(tmp_path, HEADER, time.time_ns, log=lambda text: None, max_queued=100, flush_interval=0.01)
+    writer.enable_gap_recovery(still, lambda: snapshot.take(router))
     for n, call in enumerate(made):
         with lock:
-            writer.note(call.at, call.event, router.handle(call.at, call.event))
+            writer.record(call.at, call.event, router.handle(call.at, call.event))
         if n == 300:  # the queue overflowed; then the thread comes to it
             writer.start()
-            assert wait_for(lambda: not writer._lost and not writer._queue)
+            assert wait_for(lambda: not writer._lost_since_gap and not writer._queue)
         elif n > 300 and n % 50 == 0:
             assert wait_for(lambda: not writer._queue)
     writer.stop()
-    result = replay(read(files(tmp_path), []))
-    assert result.same and result.missing == writer.lost >= 200 and result.states >= 1
+    result = replay(iter_records(files(tmp_path), []))
+    assert result.matches and result.missing == writer.lost_calls >= 200 and result.states >= 1
     assert result.calls + result.missing == 900 and not result.skipped
 
 
@@ -297,8 +297,8 @@
             client.call(chat(f"{n}", max_tokens=3))
         client.close()
         assert "stonetrack_capture_records" in node.node.metrics()[0].decode()
-    result = replay(read(files(tmp_path), []))
-    assert result.calls > 120 and result.same and not result.missing
+    result = replay(iter_records(files(tmp_path), []))
+    assert result.calls > 120 and result.matches and not result.missing
     for seed in ("0", "1", "2", "3", "4"):
         done = command("replay", str(tmp_path), seed=seed)
         assert done.returncode == 0 and f"{result.calls} calls replayed" in done.stdout, done.stdout + done.stderr
--- a/tests/test_cases.py
+++ b/tests/test_cases.py
@@ -12,7 +12,7 @@
 from stonetrack import api
 from stonetrack.capture import case, redact, revision, snapshot
 from stonetrack.capture.codec import Call, CaptureError, Header, Record, State
-from stonetrack.capture.history import read
+from stonetrack.capture.history import iter_records
 from stonetrack.capture.replay import replay
 from stonetrack.frontend.classify import ByteEstimator, describe_prompt, hash_key, session_of
 from stonetrack.logic import Router
@@ -28,11 +28,11 @@
 def test_a_fixed_fault_stays_fixed(path: Path) -> None:
     made = case.decode(path.read_bytes())
     assert case.encode(made) == path.read_bytes()
-    assert made.then != made.now and made.fixed_by and made.title and made.found
-    assert case.possible(made.events, [*made.expected, made.then])
-    ran = case.run(made, Router)
-    assert ran.verdict == "fixed", f"{made.title}: {ran.last}"
-    assert case.run(made, Router) == ran
+    assert made.faulty_actions != made.fixed_actions and made.fixed_by and made.title and made.found
+    assert case.is_possible(made.events, [*made.earlier_actions, made.faulty_actions])
+    ran = case.run_case(made, Router)
+    assert ran.verdict == "fixed", f"{made.title}: {ran.last_actions}"
+    assert case.run_case(made, Router) == ran
 
 
 def test_there_are_cases_of_five_different_fixes() -> None:
@@ -50,8 +50,8 @@
         assert line in LOGIC
         module = revision.from_texts(name, LOGIC.replace(line, without), API)
         made = case.decode((Path(__file__).parent / "cases" / f"{name}.case").read_bytes())
-        assert case.run(made, module.make).verdict != "fixed", name
-        assert case.run(made, revision.from_texts("whole", LOGIC, API).make).verdict == "fixed"
+        assert case.run_case(made, module.make).verdict != "fixed", name
+        assert case.run_case(made, revision.from_texts("whole", LOGIC, API).make).verdict == "fixed"
 
 
 def test_a_case_is_cut_from_a_capture_to_what_is_needed(tmp_path: Path) -> None:
@@ -70,8 +70,8 @@
     assert done.returncode == 0, done.stderr
     cut = case.decode(out.read_bytes())
     assert 3 <= len(cut.events) <= 20 and cut.title == "prefixes not used"
-    assert case.run(cut, Router).verdict == "fixed"
-    assert case.run(cut, revision.load(str(folder)).make).verdict == "broken again"
+    assert case.run_case(cut, Router).verdict == "fixed"
+    assert case.run_case(cut, revision.load(str(folder)).make).verdict == "broken again"
     result = command("capture", "cases", str(tmp_path))
     assert result.returncode == 0 and "prefix.case: fixed" in result.stdout
     result = command("capture", "cases", str(out), "--at", str(folder))
@@ -88,24 +88,24 @@
         tried.append(parts)
         return {3, 17, 18} <= set(parts)
 
-    assert case.smaller(list(range(40)), holds) == [3, 17, 18] and len(tried) < 200
-    assert case.smaller([1], lambda parts: True) == []
+    assert case.minimize(list(range(40)), holds) == [3, 17, 18] and len(tried) < 200
+    assert case.minimize([1], lambda parts: True) == []
 
 
 def test_an_impossible_history_is_distinguished_from_a_possible_one() -> None:
     made = calls(200)
     events = [(call.at, call.event) for call in made]
     decided = [call.actions for call in made]
-    assert case.possible(events, decided)
+    assert case.is_possible(events, decided)
     ends = [n for n, (_, event) in enumerate(events) if isinstance(event, api.AttemptEnded)]
     sent = [n for n, actions in enumerate(decided) if any(isinstance(a, api.Send) for a in actions)]
     for gone in (sent[0], sent[3]):
         shorter = [each for n, each in enumerate(events) if n != gone]
-        assert not case.possible(shorter, [each for n, each in enumerate(decided) if n != gone])
+        assert not case.is_possible(shorter, [each for n, each in enumerate(decided) if n != gone])
     at, event = events[ends[0]]
     assert isinstance(event, api.AttemptEnded)
     for wrong in (replace(event, server="r9"), replace(event, attempt=7)):
-        assert not case.possible([*events[: ends[0]], (at, wrong)], decided[: ends[0] + 1])
+        assert not case.is_possible([*events[: ends[0]], (at, wrong)], decided[: ends[0] + 1])
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b"[1]\n[2]", b'{"format": 9}', b'{"format": 1}\n[1, ["Nothing"], []]'])
@@ -128,8 +128,8 @@
         records.append(Call(call.at, call.event, tuple(router.handle(call.at, call.event))))
     changed = list(redact.redact(records, b"key"))
     result = replay(changed)
-    assert result.same and result.calls == 600 and result.states == 1
-    text = b"".join(redact.text(n, record) for n, record in enumerate(changed)) + changed[301].data  # type: ignore[union-attr]
+    assert result.matches and result.calls == 600 and result.states == 1
+    text = b"".join(redact.to_json(n, record) for n, record in enumerate(changed)) + changed[301].data  # type: ignore[union-attr]
     assert b"Suva" not in text and b"chat" not in text
     assert list(redact.redact(records, b"other")) != changed
 
@@ -139,9 +139,9 @@
     write(tmp_path / "in", made)
     done = command("capture", "redact", str(tmp_path / "in"), str(tmp_path / "out"), "--rename", "--key", "secret")
     assert done.returncode == 0 and "600 calls replay the same" in done.stdout, done.stderr
-    records = list(read(files(tmp_path / "out"), []))
-    assert replay(records).same
-    exported = b"".join(redact.text(n, record) for n, record in enumerate(records))
+    records = list(iter_records(files(tmp_path / "out"), []))
+    assert replay(records).matches
+    exported = b"".join(redact.to_json(n, record) for n, record in enumerate(records))
     for name in ("q12", "s3", "b1", "r0", "w3", "i0.1"):
         assert f'"{name}"'.encode() not in exported
     again = command("capture", "redact", str(tmp_path / "in"), str(tmp_path / "out"))
@@ -181,7 +181,9 @@
         body["messages"].insert(0, {"role": "system", "content": "You know Fiji."})
         client.call(body)
         client.close()
-    raw = b"".join(msgspec.msgpack.encode(redact.text(n, r)) for n, r in enumerate(read(files(tmp_path), [])))
+    raw = b"".join(
+        msgspec.msgpack.encode(redact.to_json(n, r)) for n, r in enumerate(iter_records(files(tmp_path), []))
+    )
     assert b"RequestArrived" in raw
     for secret in (b"Nadi", b"driver-77", b"Fiji", b"Suva"):
         assert secret not in raw
@@ -194,5 +196,5 @@
         old, new = (revision.load(name) for name in (f"{made.fixed_by}^", made.fixed_by))
     except CaptureError:
         pytest.skip("a checkout without the project's history")
-    assert case.run(made, old.make) == case.Ran(None, made.then, "broken again")
-    assert case.run(made, new.make) == case.Ran(None, made.now, "fixed")
+    assert case.run_case(made, old.make) == case.CaseResult(None, made.faulty_actions, "broken again")
+    assert case.run_case(made, new.make) == case.CaseResult(None, made.fixed_actions, "fixed")
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -16,8 +16,8 @@
 from stonetrack import api
 from stonetrack.capture import codec, segment
 from stonetrack.capture.codec import Call, Gap, Header, State
-from stonetrack.capture.history import Reading, routers
-from stonetrack.capture.journal import Append, Bounds, Close, Journal, Op, Open, Sync
+from stonetrack.capture.history import HistoryReader, segments_by_router
+from stonetrack.capture.journal import Append, Close, Journal, Op, Open, SegmentLimits, Sync
 from tests.router_fixture import SETTINGS
 
 HEADER = Header("test", "i0.1", 1, SETTINGS)
@@ -60,8 +60,8 @@
 @cache
 def in_file(data: bytes) -> list[tuple[int, list[codec.Record]]]:
     """A file's whole blocks by the number of their first record; the same files come in many histories."""
-    blocks, _ = segment.scan(data)
-    return [(b.first, [codec.decode(raw) for raw in segment.records(data, b)]) for b in blocks]
+    blocks, _ = segment.scan_blocks(data)
+    return [(b.first, [codec.decode(raw) for raw in segment.decode_block(data, b)]) for b in blocks]
 
 
 def found(files: dict[str, bytes], holes: bool = False) -> list[tuple[int, codec.Record]]:
@@ -109,7 +109,7 @@
                 self.ops = self.journal.write(self.clock, [codec.encode(CALLS[n]) for n in batch])
             else:
                 count, self.lost = self.lost, 0
-                self.ops = self.journal.tell_gap(self.clock, count, State(1, "v", b"state"))
+                self.ops = self.journal.write_gap(self.clock, count, State(1, "v", b"state"))
             self.next = next(self.ops, None)
         return self.next is not None
 
@@ -118,8 +118,8 @@
         op, self.next = self.next, None
         self.disk.do(op, part)
         if part is not None:
-            lost, telling = self.journal.broke()
-            self.lost += lost + telling + len(self.queue)
+            lost, unwritten_gap = self.journal.operation_failed()
+            self.lost += lost + unwritten_gap + len(self.queue)
             self.queue.clear()
             self.ops = iter(())
             self.disk.do(Close())
@@ -196,7 +196,7 @@
 
 
 def plain(segment_bytes: int = 400) -> Callable[[], Journal]:
-    return lambda: Journal(HEADER, Bounds(segment_bytes, 100))
+    return lambda: Journal(HEADER, SegmentLimits(segment_bytes, 100))
 
 
 def test_every_interleaving_keeps_what_is_durable_and_counts_what_is_lost() -> None:
@@ -208,49 +208,49 @@
 class ForgetsGap(Journal):
     """A journal that does not count again a gap that could not be written."""
 
-    def broke(self) -> tuple[int, int]:
-        return super().broke()[0], 0
+    def operation_failed(self) -> tuple[int, int]:
+        return super().operation_failed()[0], 0
 
 
 class EarlyNumber(Journal):
     """A journal that counts records before they are written."""
 
-    def _append(self, records, beside=False):  # type: ignore[no-untyped-def]
-        first, self.number = self.number, self.number + len(records)
-        yield Append(segment.pack(records, first))
-        if not beside:
-            self.in_hand = self.telling = 0
+    def _append(self, records, is_header=False):  # type: ignore[no-untyped-def]
+        first, self.next_number = self.next_number, self.next_number + len(records)
+        yield Append(segment.encode_block(records, first))
+        if not is_header:
+            self.unwritten_calls = self.unwritten_gap = 0
         yield Sync()
-        self.durable = self.number
+        self.durable = self.next_number
 
 
 class EarlyDurable(Journal):
     """A journal that says durable before it is."""
 
-    def _append(self, records, beside=False):  # type: ignore[no-untyped-def]
-        for op in super()._append(records, beside):
+    def _append(self, records, is_header=False):  # type: ignore[no-untyped-def]
+        for op in super()._append(records, is_header):
             if isinstance(op, Sync):
-                self.durable = self.number
+                self.durable = self.next_number
             yield op
 
 
 class LateHand(Journal):
     """A journal that counts as lost what was written but not synced."""
 
-    def _append(self, records, beside=False):  # type: ignore[no-untyped-def]
-        hand = self.in_hand
-        for op in super()._append(records, beside):
+    def _append(self, records, is_header=False):  # type: ignore[no-untyped-def]
+        hand = self.unwritten_calls
+        for op in super()._append(records, is_header):
             if isinstance(op, Sync):
-                self.in_hand = hand
+                self.unwritten_calls = hand
             yield op
-        if not beside:
-            self.in_hand = 0
+        if not is_header:
+            self.unwritten_calls = 0
 
 
 @pytest.mark.parametrize("broken", [ForgetsGap, EarlyNumber, EarlyDurable, LateHand])
 def test_the_exploration_catches_a_journal_that_is_wrong(broken: type[Journal]) -> None:
     with pytest.raises(AssertionError, match="said to be missing|missing|durable|stands where"):
-        explore(lambda: broken(HEADER, Bounds(400, 100)), 3, 2)
+        explore(lambda: broken(HEADER, SegmentLimits(400, 100)), 3, 2)
 
 
 # The real recorder, killed.
@@ -281,13 +281,13 @@
         print(said.split()[-1].decode() if said.split() else "0", flush=True)
         continue
     header = Header("test", f"k{index}.1", 1, SETTINGS)
-    recorder = Recorder(folder, header, time.time_ns, log=lambda text: None, flush=0.002, block=20,
+    recorder = Recorder(folder, header, time.time_ns, log=lambda text: None, flush_interval=0.002, block_records=20,
                         segment_bytes=3000, segment_seconds=0.01, budget_bytes=1 << 30)
     recorder.start()
     n = told = 0
     while True:
         for _ in range(7):
-            recorder.note(n + 1, api.TimerFired(n), (api.SetTimer(n, 5),))
+            recorder.record(n + 1, api.TimerFired(n), (api.SetTimer(n, 5),))
             n += 1
         if recorder.durable > told:
             told = recorder.durable
@@ -314,27 +314,27 @@
         child.kill()
         child.stdin.close()
         child.stdout.close()
-    rooms = routers(tmp_path)
+    rooms = segments_by_router(tmp_path)
     records = torn = 0
     for index, sure in enumerate(durable):
         files = rooms.get(f"k{index}.1", [])
-        reading = Reading(files)
+        reading = HistoryReader(files)
         numbers = []
         for number, record in reading:
             numbers.append(number)
             assert not isinstance(record, Call) or record.event == api.TimerFired(number - 1)
             assert not isinstance(record, Gap)
         assert numbers == list(range(len(numbers))) and len(numbers) >= sure
-        assert len(reading.damage) == reading.torn <= 1
+        assert len(reading.damage) == reading.torn_tails <= 1
         records += len(numbers)
-        torn += reading.torn
+        torn += reading.torn_tails
     assert max(durable) > 50 and records > 2_000 and sum(len(files) > 1 for files in rooms.values()) > 10
 
 
 def test_a_restart_in_the_same_nanosecond_or_after_a_step_back_begins_a_segment_of_its_own() -> None:
     clocks = iter([100, 100, 50, 50])
     disk = Disk()
-    journal = Journal(HEADER, Bounds(1, 1 << 60))
+    journal = Journal(HEADER, SegmentLimits(1, 1 << 60))
     for n in range(4):
         for op in journal.write(next(clocks), [codec.encode(CALLS[n])]):
             disk.do(op)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -113,7 +113,7 @@
     "capture/journal.py", "manage/framing.py", "manage/datastore.py", "manage/yang.py", "manage/model.py",
     "manage/messages.py", "edge/config.py", "edge/requests.py", "edge/exchange.py", "edge/engine_table.py",
     "edge/budget.py",
-    "background/wheel.py", "background/plan.py", "logic.py", "api.py",
+    "background/timer_wheel.py", "background/scheduler.py", "logic.py", "api.py",
 ]  # fmt: skip
 BANNED = {"asyncio", "socketserver", "http", "urllib", "xmlrpc", "requests", "httpx", "h11", "h2", "grpc"}
 # A helper of the standard library that opens nothing: reading a query string.
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,8 +14,8 @@
 
 from stonetrack import api
 from stonetrack.api import Role
-from stonetrack.capture.history import Reading
-from stonetrack.capture.replay import run
+from stonetrack.capture.history import HistoryReader
+from stonetrack.capture.replay import replay_numbered
 from stonetrack.daemon.places import Places
 from stonetrack.logic import MS, SECOND, Router
 from stonetrack.settings import parse
@@ -114,9 +114,9 @@
         assert dropped == [[], []]
         router = made.node.core.router
         assert isinstance(router, Router) and router.settings.max_attempts == 7
-    history = Reading(sorted(tmp_path.glob("*.cap")))
-    result = run(history.records(0))
-    assert result.same and result.states == 2 and result.routers == 1 and not result.missing and not result.skipped
+    history = HistoryReader(sorted(tmp_path.glob("*.cap")))
+    result = replay_numbered(history.records(0))
+    assert result.matches and result.states == 2 and result.routers == 1 and not result.missing and not result.skipped
     assert result.calls > 50 and result.router.settings.max_attempts == 7 and not history.damage
 
 
--- a/tests/test_replaying.py
+++ b/tests/test_replaying.py
@@ -17,10 +17,10 @@
 from stonetrack import api, logic
 from stonetrack.capture import compare, explain, history, index, revision, seek, snapshot
 from stonetrack.capture.codec import Call, CaptureError, Gap, Header, Record, State
-from stonetrack.capture.history import Reading
+from stonetrack.capture.history import HistoryReader
 from stonetrack.capture.recorder import Recorder
-from stonetrack.capture.replay import replay, run
-from stonetrack.capture.store import Saved, Store
+from stonetrack.capture.replay import replay, replay_numbered
+from stonetrack.capture.store import SavedState, Store
 from stonetrack.logic import MS, SECOND, Router
 from tests.router_fixture import FLEET, MIXED, PREFILL, entry
 from tests.test_capture import HEADER, calls, command, files, write
@@ -226,7 +226,7 @@
         for module in revisions():
             cls, reasons = explain.traced(module.logic.Router)
             records: list[Record] = [beginning, *made[300 if isinstance(beginning, State) else 0 :]]
-            assert run(enumerate(records), partial(module.make, cls=cls), restore_class=cls).same
+            assert replay_numbered(enumerate(records), partial(module.make, cls=cls), restore_class=cls).matches
             assert {r.what for r in reasons} >= {
                 "reader",
                 "writer",
@@ -267,7 +267,7 @@
     explanations: list[list[str]] = []
     for each in (revision.current(), module):
         cls, reasons = explain.traced(each.logic.Router)
-        assert run(enumerate(records), partial(each.make, cls=cls), restore_class=cls).same
+        assert replay_numbered(enumerate(records), partial(each.make, cls=cls), restore_class=cls).matches
         assert not any(r.what == "not explained" for r in reasons)
         explanations.append(list(explain.lines(reasons)))
     assert explanations[0] == explanations[1]
@@ -322,49 +322,51 @@
 def stored(folder: Path, every: int = 400) -> Store:
     """The index and the states of a folder, as capture maintenance makes them."""
     store = Store(folder)
-    for name, paths in history.routers(folder).items():
+    for name, paths in history.segments_by_router(folder).items():
         for path in paths:
             store.put_index(path.name, seek.index_file(path)[0])
         router = Router(HEADER.settings, 1)
-        for number, record in Reading(paths):
+        for number, record in HistoryReader(paths):
             if isinstance(record, Call):
                 if number % every == 0:
-                    store.put_state(Saved(name, number, record.at, "test", snapshot.take(router)))
+                    store.put_state(SavedState(name, number, record.at, "test", snapshot.take(router)))
                 router.handle(record.at, record.event)
     return store
 
 
 def test_seeking_gives_what_reading_from_the_start_does(tmp_path: Path) -> None:
     made = calls(2_000)
-    write(tmp_path, made, segment_bytes=5_000, block=50)
+    write(tmp_path, made, segment_bytes=5_000, block_records=50)
     stored(tmp_path).close()
-    (paths,) = history.routers(tmp_path).values()
+    (paths,) = history.segments_by_router(tmp_path).values()
     draw = random.Random(5)
     assert len(paths) > 3
     for call in draw.sample(made, 25):
-        found = list(seek.since(tmp_path, Reading(paths), call.at))
+        found = list(seek.since(tmp_path, HistoryReader(paths), call.at))
         assert isinstance(found[0][1], (State, Header)) and found[0][0] <= made.index(call) + 1
         begun = found[0][0] + isinstance(found[0][1], Header)
         assert [r for _, r in found[1:]] == [r for _, r in numbered(made)][begun:]
-        result = run(found)
-        assert result.same and result.calls == len(found) - 1
-    late = list(seek.since(tmp_path, Reading(paths), made[-1].at))
+        result = replay_numbered(found)
+        assert result.matches and result.calls == len(found) - 1
+    late = list(seek.since(tmp_path, HistoryReader(paths), made[-1].at))
     assert late[0][0] >= 1_600
     for call in draw.sample(made, 25):
         for request in index.requests_of(call):
             expected = [(n, r) for n, r in numbered(made) if request in index.requests_of(r)]
             plain = [
-                (n, r) for n, r in seek.about(tmp_path, Reading(paths), request) if request in index.requests_of(r)
+                (n, r)
+                for n, r in seek.about(tmp_path, HistoryReader(paths), request)
+                if request in index.requests_of(r)
             ]
             assert plain == expected
-            whole = list(seek.about(tmp_path, Reading(paths), request, whole=True))
+            whole = list(seek.about(tmp_path, HistoryReader(paths), request, whole=True))
             assert [each for each in whole if request in index.requests_of(each[1])] == expected
-            assert run(whole).same
-    assert list(seek.about(tmp_path, Reading(paths), "nobody")) == []
+            assert replay_numbered(whole).matches
+    assert list(seek.about(tmp_path, HistoryReader(paths), "nobody")) == []
 
 
 def test_an_index_of_another_file_is_not_used(tmp_path: Path) -> None:
-    write(tmp_path, calls(200), block=50)
+    write(tmp_path, calls(200), block_records=50)
     with stored(tmp_path) as store:
         (path,) = files(tmp_path)
         assert store.index_of(path) is not None
@@ -376,22 +378,22 @@
 
 def test_the_store_keeps_what_was_put_into_it(tmp_path: Path) -> None:
     with Store(tmp_path) as store:
-        store.keep("a.cap", "the long weekend")
-        store.note(7, "chatcmpl-1", "went to r1, why?")
+        store.mark_kept("a.cap", "the long weekend")
+        store.add_note(7, "chatcmpl-1", "went to r1, why?")
         store.put_case("case", {"title": "t"})
         for number in (0, 100, 200):
-            store.put_state(Saved("i0.1", number, number, "v", b"x" * 10))
-        store.put_state(Saved("i0.10", 50, 50, "v", b"y"))
+            store.put_state(SavedState("i0.1", number, number, "v", b"x" * 10))
+        store.put_state(SavedState("i0.10", 50, 50, "v", b"y"))
     with Store(tmp_path) as store:
-        assert store.kept() == {"a.cap": "the long weekend"}
+        assert store.kept_segments() == {"a.cap": "the long weekend"}
         assert store.notes() == [(7, "chatcmpl-1", "went to r1, why?")]
         assert store.cases() == {"case": {"title": "t"}}
         found = [getattr(store.state_before("i0.1", n), "number", None) for n in (0, 99, 100, 500)]
         assert found == [0, 0, 100, 200] and store.state_before("i0.0", 9) is None
         assert [s.number for s in store.states("i0.1")] == [0, 100, 200]
-        store.forget([], "i0.1", 150)
+        store.delete_segments([], "i0.1", 150)
         assert [s.number for s in store.states("i0.1")] == [100, 200]
-        assert store.let_go("a.cap") and not store.let_go("a.cap")
+        assert store.unmark_kept("a.cap") and not store.unmark_kept("a.cap")
     (tmp_path / "file").write_text("")
     with pytest.raises(CaptureError, match="store"):
         Store(tmp_path / "file")
@@ -399,21 +401,21 @@
 
 def test_a_missing_segment_is_named_and_no_replay_continues_across_it(tmp_path: Path) -> None:
     made = calls(2_000)
-    write(tmp_path, made, segment_bytes=4_000, block=200)
+    write(tmp_path, made, segment_bytes=4_000, block_records=200)
     paths = files(tmp_path)
     paths[1].unlink()
-    reading = Reading(files(tmp_path))
+    reading = HistoryReader(files(tmp_path))
     records = list(reading)
     gaps = [record for _, record in records if isinstance(record, Gap)]
     assert len(gaps) == 1 and gaps[0].count + len(records) - 1 == 2_001
     assert f"{gaps[0].count} records are missing" in reading.damage[0] and paths[2].name in reading.damage[0]
     result = replay([record for _, record in records])
-    assert result.same and result.skipped and result.calls + result.skipped == len(records) - 2
+    assert result.matches and result.skipped and result.calls + result.skipped == len(records) - 2
 
 
 def test_the_commands_report_results_and_errors_without_tracebacks(tmp_path: Path) -> None:
     made = calls(600)
-    write(tmp_path, made, block=100)
+    write(tmp_path, made, block_records=100)
     stored(tmp_path, 200).close()
     request = next(c.event.request for c in made[400:] if isinstance(c.event, api.RequestArrived))
     shown = command("capture", "explain", str(tmp_path), request)
@@ -475,20 +477,20 @@
             handle(at, api.ServerList(api.ListKind.CHANGES, 2, entries))
             handle(at - 1, replace(call.event, report=api.LoadReport(draw.random() * 9, 1.0, draw.random(), 50.0)))
             handle(at, replace(full, kind=api.ListKind.FULL))
-    write(tmp_path, made, block=40, segment_bytes=6_000)
-    reading = Reading(files(tmp_path))
+    write(tmp_path, made, block_records=40, segment_bytes=6_000)
+    reading = HistoryReader(files(tmp_path))
     records = list(reading)
     assert not reading.damage and [r for _, r in records] == [HEADER, *made]
-    assert run(records).same and replay([HEADER, *made]).same
+    assert replay_numbered(records).matches and replay([HEADER, *made]).matches
     half = Router(HEADER.settings, 1)
     for call in made[:500]:
         half.handle(call.at, call.event)
-    again = run([(500, State(1, "v", snapshot.take(half))), *enumerate(made[500:], 501)])
-    assert again.same and again.calls == len(made) - 500
+    again = replay_numbered([(500, State(1, "v", snapshot.take(half))), *enumerate(made[500:], 501)])
+    assert again.matches and again.calls == len(made) - 500
 
 
 def test_no_corrupt_file_stops_the_reader(tmp_path: Path) -> None:
-    write(tmp_path, calls(120), block=15)
+    write(tmp_path, calls(120), block_records=15)
     (path,) = files(tmp_path)
     corpus = [path.read_bytes()]
     draw = random.Random(11)
@@ -509,42 +511,42 @@
         if len(corpus) < 40:
             corpus.append(bytes(data))
         path.write_bytes(data)
-        reading = Reading([path])
+        reading = HistoryReader([path])
         records = list(reading)
         damaged += bool(reading.damage)
-        result = run(records)
-        assert result.same or reading.damage
+        result = replay_numbered(records)
+        assert result.matches or reading.damage
         assert all(text.startswith(f"{path.name}: ") for text in reading.damage)
     assert damaged > 300
 
 
 def test_a_segment_of_another_version_is_refused_by_name_and_the_rest_is_read(tmp_path: Path) -> None:
     made = calls(400)
-    write(tmp_path, made, block=20, segment_bytes=2_500)
+    write(tmp_path, made, block_records=20, segment_bytes=2_500)
     paths = files(tmp_path)
     other = b"stonecap\x00\n"
     paths[1].write_bytes(other + paths[1].read_bytes()[len(other) :])
-    reading = Reading(paths)
+    reading = HistoryReader(paths)
     records = list(reading)
     assert f"{paths[1].name}: offset 0: not a capture of this version" in reading.damage[0]
     assert f"{paths[2].name}: offset" in reading.damage[1] and "records are missing" in reading.damage[1]
-    assert run(records).same and records[-1][1] == made[-1]
+    assert replay_numbered(records).matches and records[-1][1] == made[-1]
     verified = command("capture", "verify", str(tmp_path))
     assert verified.returncode == 1 and "not a capture of this version" in verified.stdout
 
 
 def test_two_routers_in_one_folder_never_mix(tmp_path: Path) -> None:
     one, two = calls(300), calls(280)
-    write(tmp_path, one, block=30, segment_bytes=2_000)
+    write(tmp_path, one, block_records=30, segment_bytes=2_000)
     other = Recorder(
         tmp_path, replace(HEADER, instance="i1.1"), time.time_ns, log=lambda text: None, segment_bytes=3_000
     )
     other.start()
     for call in two:
-        other.note(call.at, call.event, call.actions)
+        other.record(call.at, call.event, call.actions)
     other.stop()
-    routers = history.routers(tmp_path)
+    routers = history.segments_by_router(tmp_path)
     assert set(routers) == {"i0.1", "i1.1"}
     for name, made in (("i0.1", one), ("i1.1", two)):
-        assert [r for _, r in Reading(routers[name])][1:] == made
-        assert run(Reading(routers[name])).same
+        assert [r for _, r in HistoryReader(routers[name])][1:] == made
+        assert replay_numbered(HistoryReader(routers[name])).matches
--- a/tests/test_starts_and_clocks.py
+++ b/tests/test_starts_and_clocks.py
@@ -12,8 +12,8 @@
 import pytest
 
 from stonetrack import clocks
-from stonetrack.capture import tend
-from stonetrack.capture.journal import SUFFIX
+from stonetrack.capture import maintenance
+from stonetrack.capture.journal import SEGMENT_SUFFIX
 from stonetrack.engines.start_times import MAX_ENGINES, StartTimes
 from tests.harness import Client, wait_for
 from tests.platform import node, platform, round_trip
@@ -112,10 +112,10 @@
 
 def test_a_segment_dated_in_the_future_is_maintained_too(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against waiting for the time to pass: the wall clock was set back by an hour after the last write."""
-    path = tmp_path / f"r.0{SUFFIX}"
+    path = tmp_path / f"r.0{SEGMENT_SUFFIX}"
     path.write_bytes(b"x")
-    monkeypatch.setattr(tend, "is_open", lambda each: False)
-    closed = tend.Tender._closed
+    monkeypatch.setattr(maintenance, "is_open", lambda each: False)
+    closed = maintenance.MaintenanceRunner._closed
     assert closed(None, [path]) == []  # type: ignore[arg-type]
     for at in (time.time() + 3_600, time.time() - 10 * 365 * 86_400):
         os.utime(path, (at, at))
--- a/tests/test_tending.py
+++ b/tests/test_tending.py
@@ -13,12 +13,12 @@
 
 from stonetrack.capture import history, seek, segment
 from stonetrack.capture.codec import Call, CaptureError
-from stonetrack.capture.history import Reading
-from stonetrack.capture.recorder import is_open, retain
-from stonetrack.capture.replay import run
-from stonetrack.capture.retention import Held, to_delete
+from stonetrack.capture.history import HistoryReader
+from stonetrack.capture.maintenance import MaintenanceRunner
+from stonetrack.capture.recorder import delete_over_budget, is_open
+from stonetrack.capture.replay import replay_numbered
+from stonetrack.capture.retention import SegmentFile, segments_to_delete
 from stonetrack.capture.store import Store
-from stonetrack.capture.tend import Tender
 from tests.harness import Client, chat, harness, wait_for
 from tests.test_capture import calls, command, files, write
 from tests.test_replaying import numbered
@@ -27,9 +27,9 @@
 def tended(folder: Path, **more: int) -> list[str]:
     """Do all there is to do; what was said."""
     said: list[str] = []
-    tender = Tender(folder, budget_bytes=more.pop("budget_bytes", 1 << 40), log=said.append, **more)
+    tender = MaintenanceRunner(folder, budget_bytes=more.pop("budget_bytes", 1 << 40), log=said.append, **more)
     try:
-        tender.once()
+        tender.run_once()
     finally:
         tender.stop()
     return said
@@ -37,25 +37,25 @@
 
 def test_tending_indexes_checks_packs_and_keeps_states_and_changes_no_record(tmp_path: Path) -> None:
     made = calls(3_000)
-    write(tmp_path, made, segment_bytes=8_000, block=25)
+    write(tmp_path, made, segment_bytes=8_000, block_records=25)
     before = sum(path.stat().st_size for path in files(tmp_path))
     assert tended(tmp_path, states_every=500) == []
     after = sum(path.stat().st_size for path in files(tmp_path))
     assert after < 0.8 * before and not list(tmp_path.glob("*.packing"))
-    (name,) = history.routers(tmp_path)
-    reading = Reading(files(tmp_path))
+    (name,) = history.segments_by_router(tmp_path)
+    reading = HistoryReader(files(tmp_path))
     assert list(reading) == numbered(made) and not reading.damage
     with Store(tmp_path) as store:
         assert all(store.index_of(path) is not None for path in files(tmp_path))
         assert [s.number for s in store.states(name)] == [500, 1_000, 1_500, 2_000, 2_500, 3_000]
-    late = list(seek.since(tmp_path, Reading(files(tmp_path)), made[-1].at))
-    assert late[0][0] == 3_000 and run(late).same
+    late = list(seek.since(tmp_path, HistoryReader(files(tmp_path)), made[-1].at))
+    assert late[0][0] == 3_000 and replay_numbered(late).matches
     assert tended(tmp_path, states_every=500) == []  # nothing is left to do
 
 
 def test_a_replay_in_pieces_says_what_a_whole_one_does(tmp_path: Path) -> None:
     made = calls(2_000)
-    write(tmp_path, made, segment_bytes=8_000, block=50)
+    write(tmp_path, made, segment_bytes=8_000, block_records=50)
     without = command("replay", str(tmp_path), "--jobs", "3")
     assert without.returncode == 2 and "no states" in without.stderr
     tended(tmp_path, states_every=250)
@@ -81,7 +81,7 @@
 
 
 def test_a_damaged_segment_is_said_and_left_as_it_was(tmp_path: Path) -> None:
-    write(tmp_path, calls(400), block=50)
+    write(tmp_path, calls(400), block_records=50)
     (path,) = files(tmp_path)
     data = bytearray(path.read_bytes())
     data[len(data) // 2] ^= 1
@@ -94,7 +94,7 @@
 
 
 def test_a_segment_being_written_is_left_alone(tmp_path: Path) -> None:
-    write(tmp_path, calls(600), segment_bytes=2_000, block=50)
+    write(tmp_path, calls(600), segment_bytes=2_000, block_records=50)
     paths = files(tmp_path)
     with paths[-1].open("rb") as file:
         fcntl.flock(file, fcntl.LOCK_EX)
@@ -102,48 +102,57 @@
         tended(tmp_path)
         with Store(tmp_path) as store:
             assert store.index_of(paths[-1]) is None and store.index_of(paths[0]) is not None
-    assert retain(tmp_path, 0) == [path.name for path in paths]  # the lock is gone: so may they all be
+    assert delete_over_budget(tmp_path, 0) == [path.name for path in paths]  # the lock is gone: so may they all be
 
 
 def test_one_tender_a_folder(tmp_path: Path) -> None:
     write(tmp_path, calls(50))
-    one = Tender(tmp_path, budget_bytes=1 << 40, log=print)
-    one.once()
-    two = Tender(tmp_path, budget_bytes=1 << 40, log=print)
+    one = MaintenanceRunner(tmp_path, budget_bytes=1 << 40, log=print)
+    one.run_once()
+    two = MaintenanceRunner(tmp_path, budget_bytes=1 << 40, log=print)
     with pytest.raises(CaptureError, match="somebody else"):
-        two.once()
+        two.run_once()
     one.stop()
-    two.once()
+    two.run_once()
     two.stop()
 
 
 def test_who_goes_for_the_budget() -> None:
-    held = [Held("b", 10, 2), Held("a", 10, 1, kept=True), Held("c", 10, 3), Held("d", 10, 4, open=True)]
-    assert to_delete(held, 40) == [] and to_delete(held, 39) == ["b"] and to_delete(held, 20) == ["b", "c"]
-    assert to_delete(held, 0) == ["b", "c"] and to_delete([], 0) == []
+    held = [
+        SegmentFile("b", 10, 2),
+        SegmentFile("a", 10, 1, kept=True),
+        SegmentFile("c", 10, 3),
+        SegmentFile("d", 10, 4, open=True),
+    ]
+    assert (
+        segments_to_delete(held, 40) == []
+        and segments_to_delete(held, 39) == ["b"]
+        and segments_to_delete(held, 20) == ["b", "c"]
+    )
+    assert segments_to_delete(held, 0) == ["b", "c"] and segments_to_delete([], 0) == []
 
 
 def test_after_retention_what_is_left_is_replayed_from_its_state(tmp_path: Path) -> None:
     made = calls(3_000)
-    write(tmp_path, made, segment_bytes=8_000, block=50)
+    write(tmp_path, made, segment_bytes=8_000, block_records=50)
     tended(tmp_path, states_every=300)
     size = sum(path.stat().st_size for path in files(tmp_path))
     with Store(tmp_path) as store:
         kept = files(tmp_path)[1].name
-        store.keep(kept, "the weekend")
+        store.mark_kept(kept, "the weekend")
     assert "deleted" in tended(tmp_path, states_every=300, budget_bytes=size // 2)[0]
     left = files(tmp_path)
     assert kept in [path.name for path in left] and sum(path.stat().st_size for path in left) <= size // 2
-    found = list(seek.since(tmp_path, Reading(left), made[-1].at))
-    assert run(found).same and found[0][0] >= 2_700
+    found = list(seek.since(tmp_path, HistoryReader(left), made[-1].at))
+    assert replay_numbered(found).matches and found[0][0] >= 2_700
 
 
 def test_a_store_that_can_not_be_read_deletes_nothing(tmp_path: Path) -> None:
-    write(tmp_path, calls(400), segment_bytes=2_000, block=50)
+    write(tmp_path, calls(400), segment_bytes=2_000, block_records=50)
     (tmp_path / "store").mkdir(exist_ok=True)
     (tmp_path / "store" / "data.mdb").write_bytes(b"not a store" * 1_000)
     with pytest.raises(CaptureError, match="store"):
-        retain(tmp_path, 0)
+        delete_over_budget(tmp_path, 0)
     writer = write(tmp_path, calls(300), budget_bytes=1)
     assert writer.written == 301 and len(files(tmp_path)) > 2
     told = command("capture", "ls", str(tmp_path))
@@ -153,8 +162,8 @@
 CRASH = """
 import os, sys
 from pathlib import Path
-from stonetrack.capture import tend
-from stonetrack.capture.tend import Tender
+from stonetrack.capture import maintenance
+from stonetrack.capture.maintenance import MaintenanceRunner
 step, folder = int(sys.argv[1]), Path(sys.argv[2])
 count = 0
 
@@ -169,12 +178,12 @@
 
 os.rename = watched("rename", os.rename)
 os.fsync = watched("fsync", os.fsync)
-tend.segment.pack = watched("pack", tend.segment.pack)
-for name in ("put_index", "put_state", "put_progress", "forget"):
-    setattr(tend.Store, name, watched(name, getattr(tend.Store, name)))
-tend.SETTLED = 0.0
-tender = Tender(folder, budget_bytes=int(sys.argv[3]), log=print, states_every=200)
-tender.once()
+maintenance.segment.encode_block = watched("pack", maintenance.segment.encode_block)
+for name in ("put_index", "put_state", "put_progress", "delete_segments"):
+    setattr(maintenance.Store, name, watched(name, getattr(maintenance.Store, name)))
+maintenance.SETTLE_SECONDS = 0.0
+tender = MaintenanceRunner(folder, budget_bytes=int(sys.argv[3]), log=print, states_every=200)
+tender.run_once()
 tender.stop()
 print("done", count)
 """
@@ -185,10 +194,10 @@
     steps = 0
     for step in range(1, 200):
         folder = tmp_path / str(step)
-        write(folder, made, segment_bytes=6_000, block=50)
+        write(folder, made, segment_bytes=6_000, block_records=50)
         done = subprocess.run([sys.executable, "-c", CRASH, str(step), str(folder), str(1 << 40)],
                               capture_output=True, text=True)  # fmt: skip
-        reading = Reading(files(folder))
+        reading = HistoryReader(files(folder))
         assert list(reading) == numbered(made) and not reading.damage, f"killed at step {step}"
         steps = step
         if done.returncode == 0:
@@ -201,7 +210,7 @@
 
 def test_a_live_nodes_folder_is_tended_while_it_serves(tmp_path: Path) -> None:
     settings = {"capture": {"dir": str(tmp_path), "flush_ms": 10, "segment_bytes": 4_096}}
-    tender = Tender(tmp_path, budget_bytes=1 << 40, log=print, states_every=100, every=0.05)
+    tender = MaintenanceRunner(tmp_path, budget_bytes=1 << 40, log=print, states_every=100, scan_interval=0.05)
     tender.start()
     with harness(2, 2, settings=settings) as node:
         client = Client(node.port)
@@ -212,6 +221,6 @@
         assert len(paths) > 2
         assert wait_for(lambda: all(tender.store.index_of(path) is not None for path in paths[:-1]), 15.0)
     tender.stop()
-    result = run(Reading(files(tmp_path)))
-    assert result.same and result.calls > 400 and not result.missing
+    result = replay_numbered(HistoryReader(files(tmp_path)))
+    assert result.matches and result.calls > 400 and not result.missing
     assert {segment.MAGIC} == {path.read_bytes()[: len(segment.MAGIC)] for path in files(tmp_path)}
