--- a/stonetrack/capture/case.py
+++ b/stonetrack/capture/case.py
@@ -176,7 +176,7 @@
         grouped.setdefault(name, []).append((n, clock, event))
     if not holds(list(grouped.values())):  # not reproducible as a history by itself: keep it whole
         if later_make is not None:
-            raise CaptureError(f"the later module does not decisions {now} there, or the history is not whole")
+            raise CaptureError(f"the later module does not decide {now} there, or the history is not whole")
         kept = [(n, clock, event) for n, (clock, event) in enumerate(events[:-1])]
     else:
         groups = minimize(list(grouped.values()), holds)
--- a/stonetrack/cli/capture.py
+++ b/stonetrack/cli/capture.py
@@ -158,7 +158,8 @@
             print_damage(reading.damage)
             if (diff := result.difference) is not None:
                 click.echo(
-                    f"  from call {diff.number} on {module.name} decides otherwise: {actions_text(diff.replayed_actions)}"
+                    f"  from call {diff.number} on {module.name} decides otherwise: "
+                    f"{format_actions(diff.replayed_actions)}"
                 )
     if not shown:
         raise CommandError(f"{folder}: no call about request {request!r} that can be replayed")
@@ -172,7 +173,7 @@
         raise CommandError(str(error)) from None
 
 
-def actions_text(actions: Iterable[object]) -> str:
+def format_actions(actions: Iterable[object]) -> str:
     """Actions as one line."""
     return "; ".join(map(str, actions)) or "nothing"
 
@@ -234,8 +235,8 @@
     if (found := result.difference) is None:
         return 0
     click.echo(f"  first difference: call {found.number} at {found.call.at}: {found.call.event}")
-    click.echo(f"    captured: {actions_text(found.call.actions)}")
-    click.echo(f"    now:      {actions_text(found.replayed_actions)}")
+    click.echo(f"    captured: {format_actions(found.call.actions)}")
+    click.echo(f"    now:      {format_actions(found.replayed_actions)}")
     for line in again.reasons_at(begin(), found.number):
         click.echo(f"      {line}")
     return 1
--- a/stonetrack/cli/capture_changes.py
+++ b/stonetrack/cli/capture_changes.py
@@ -12,7 +12,7 @@
 from stonetrack.capture.codec import CaptureError
 from stonetrack.capture.maintenance import MaintenanceRunner
 from stonetrack.capture.store import Store
-from stonetrack.cli.capture import FOLDER, CommandError, actions_text, capture, load_module, segments_or_error
+from stonetrack.cli.capture import FOLDER, CommandError, capture, format_actions, load_module, segments_or_error
 from stonetrack.clocks import wall_time_ns
 
 
@@ -131,7 +131,7 @@
                 ("now", made.fixed_actions),
                 (module.name, ran.last_actions),
             ):
-                click.echo(f"  {label + ':':<10} {actions_text(actions)}")
+                click.echo(f"  {label + ':':<10} {format_actions(actions)}")
     sys.exit(worst)
 
 
