--- a/benchmarks/bare.py
+++ b/benchmarks/bare.py
@@ -1,7 +1,7 @@
-"""A bare threaded relay: a thread a connection, bytes from an engine to the client as they come.
+"""A minimal threaded relay: one thread for each connection copies bytes from an engine to the client.
 
-It reads no answer, keeps no state and decides nothing: two requests to the engine (read, write) and a copy loop.  What a
-Python router on threads could cost at the least.
+It parses no answer, keeps no state and makes no decisions: two requests to the engine (prefill and decode) and a copy
+loop.  This is a lower bound for the cost of a threaded router in Python.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 def receive(sock: socket.socket) -> bytes:
-    """One whole request or response with a length."""
+    """Receive one request or response with a Content-Length; empty at the end of the connection."""
     data = b""
     while True:
-        more = sock.recv(65_536)
-        if not more:
+        received = sock.recv(65_536)
+        if not received:
             return b""
-        data += more
+        data += received
         end = data.find(b"\r\n\r\n")
         if end >= 0:
             found = _LENGTH.search(data, 0, end)
@@ -32,7 +32,7 @@
 
 
 def relay(client: socket.socket, port: int) -> None:
-    """Serve one client's connection."""
+    """Relay the requests on one client connection."""
     engines: list[socket.socket] = []
     try:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -42,9 +42,10 @@
             engines.append(engine)
         while request := receive(client):
             body = request[request.index(b"\r\n\r\n") + 4 :]
-            read = body[:-1] + b',"do_remote_decode":true}'
+            prefill = body[:-1] + b',"do_remote_decode":true}'
             engines[0].sendall(
-                b"POST %b HTTP/1.1\r\nHost: e\r\nContent-Length: %d\r\n\r\n" % (CHAT_PATH.encode(), len(read)) + read
+                b"POST %b HTTP/1.1\r\nHost: e\r\nContent-Length: %d\r\n\r\n" % (CHAT_PATH.encode(), len(prefill))
+                + prefill
             )
             receive(engines[0])
             engines[1].sendall(request)
@@ -63,7 +64,7 @@
 
 
 def main() -> None:
-    """Listen on a free port, print it, relay to the engine's port."""
+    """Listen on a free port, print it, and relay to the engine's port."""
     threading.stack_size(256 * 1024)
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -1,7 +1,7 @@
-"""A stream engine for measurements: as little work as can be, in a process of its own, forked to use several cores.
+"""A minimal engine for benchmarks, which does as little work as possible; forked processes use several cores.
 
-``POST /v1/chat/completions`` is answered as reader (``do_remote_decode``) at once, else as a stream: ``metadata.tokens``
-events, ``metadata.gap_ms`` apart (0: all at once).  It lists itself at ``GET /engines``.
+``POST /v1/chat/completions`` gets a prefill answer for ``do_remote_decode``, else a stream with ``metadata.tokens``
+events, ``metadata.gap_ms`` milliseconds apart (0: all at once).  ``GET /engines`` returns the server list.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 EVENT = b'{"id":"e","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{"content":" word"},"finish_reason":null}]}'
 LAST = b'{"id":"e","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}'
 HEAD = writer.chunked_head(200, [("Content-Type", "text/event-stream")])
-PIECE = writer.chunk(sse.encode(EVENT))
-END = writer.chunk(sse.encode(LAST) + sse.encode(b"[DONE]")) + writer.LAST_CHUNK
-STATE = writer.response(
+TOKEN_CHUNK = writer.chunk(sse.encode(EVENT))
+LAST_CHUNKS = writer.chunk(sse.encode(LAST) + sse.encode(b"[DONE]")) + writer.LAST_CHUNK
+PREFILL_RESPONSE = writer.response(
     200,
     [("Content-Type", "application/json")],
     b'{"choices":[],"kv_transfer_params":{"do_remote_prefill":true,"remote_engine_id":"r0"}}',
 )
 
 
-def serve(listener: socket.socket, listing: bytes) -> None:
-    """Serve for ever; ended by its parent's end or a signal."""
+def serve(listener: socket.socket, server_list: bytes) -> None:
+    """Serve until the parent process ends or a signal arrives."""
     listener.setblocking(False)
     poll = select.epoll()
     poll.register(listener.fileno(), select.EPOLLIN)
-    conns: dict[int, tuple[socket.socket, bytearray]] = {}
+    connections: dict[int, tuple[socket.socket, bytearray]] = {}
     timers: list[tuple[float, int, int, int]] = []
     parent = os.getppid()
     while True:
@@ -50,10 +50,10 @@
                         break
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                     sock.setblocking(True)
-                    conns[sock.fileno()] = (sock, bytearray())
+                    connections[sock.fileno()] = (sock, bytearray())
                     poll.register(sock.fileno(), select.EPOLLIN)
                 continue
-            sock, buffer = conns[fd]
+            sock, buffer = connections[fd]
             try:
                 data = sock.recv(65_536, socket.MSG_DONTWAIT)
             except OSError:
@@ -61,7 +61,7 @@
             if not data:
                 poll.unregister(fd)
                 sock.close()
-                del conns[fd]
+                del connections[fd]
                 continue
             buffer += data
             end = buffer.find(b"\r\n\r\n")
@@ -78,26 +78,26 @@
                     time.sleep(0)
                     sock.sendall(writer.response(204, []))
                 else:
-                    sock.sendall(writer.response(200, [("Content-Type", "application/json")], listing))
+                    sock.sendall(writer.response(200, [("Content-Type", "application/json")], server_list))
             elif b'"do_remote_decode":true' in request:
-                sock.sendall(STATE)
+                sock.sendall(PREFILL_RESPONSE)
             else:
-                asked = _TOKENS.search(request)
-                tokens = int(asked.group(1)) if asked else 16
-                pause = _GAP.search(request)
-                gap = int(pause.group(1)) if pause else 0
+                token_count = _TOKENS.search(request)
+                tokens = int(token_count.group(1)) if token_count else 16
+                gap_found = _GAP.search(request)
+                gap = int(gap_found.group(1)) if gap_found else 0
                 if gap == 0:
-                    sock.sendall(HEAD + PIECE * tokens + END)
+                    sock.sendall(HEAD + TOKEN_CHUNK * tokens + LAST_CHUNKS)
                 else:
-                    sock.sendall(HEAD + PIECE)
+                    sock.sendall(HEAD + TOKEN_CHUNK)
                     heapq.heappush(timers, (time.monotonic() + gap / 1e3, fd, tokens - 1, gap))
         now = time.monotonic()
         while timers and timers[0][0] <= now:
             due, fd, left, gap = heapq.heappop(timers)
-            if fd not in conns:
+            if fd not in connections:
                 continue
             try:
-                conns[fd][0].sendall(PIECE if left else END)
+                connections[fd][0].sendall(TOKEN_CHUNK if left else LAST_CHUNKS)
             except OSError:
                 continue
             if left:
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """Listen, fork, print the port."""
+    """Listen, print the port, fork and serve."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind(("127.0.0.1", 0))
@@ -116,12 +116,12 @@
     engines = ",".join(
         f'{{"name":"{kind[0]}{n}","address":"127.0.0.1:{port}","kind":"{kind}","cell":{n % 2}}}'
         for kind in ("reader", "writer") for n in range(4))  # fmt: skip
-    listing = f'{{"version":1,"kind":"full","engines":[{engines}]}}'.encode()
+    server_list = f'{{"version":1,"kind":"full","engines":[{engines}]}}'.encode()
     print(f"ready {port}", flush=True)
     for _ in range(int(sys.argv[1]) - 1):
         if os.fork() == 0:
             break
-    serve(listener, listing)
+    serve(listener, server_list)
 
 
 if __name__ == "__main__":
