--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -27,21 +27,21 @@
 STEADY_SECONDS = 13.0  # measured before the nodes are killed
 
 
-def script(nodes: int, rate: float, load_seconds: float, max_idle_ms: int) -> tuple[str, float]:
+def script(nodes: int, rate: float, before: float, longest: int) -> tuple[str, float]:
     """A fleet script, and the second at which its load begins: when the processes on this machine are up."""
     begin = 6.0 + nodes / 5.0
     engines = [{"name": f"{role[0]}{n}", "role": role, "cell": n % 2, "warm_ms": 4_000, "cold_window_ms": 1_500}
                for role in ("reader", "writer") for n in range(6)]  # fmt: skip
     return json.dumps({
-        "name": f"engines under {nodes} nodes", "seconds": begin + load_seconds + 18.0 + nodes / 5.0, "nodes": nodes, "listed": 0,
+        "name": f"engines under {nodes} nodes", "seconds": begin + before + 18.0 + nodes / 5.0, "nodes": nodes, "listed": 0,
         "start_within_ms": 100 * nodes, "load_from": begin, "lists": {"lists_per_second": 100.0, "waiting": 400.0},
         "engines": engines,
         "node": {"routing": {"warm_within_ms": 4_000, "cold_window_ms": 1_500, "may_probe": True},
-                 "timing": {"pool_longest_ms": max_idle_ms}},
+                 "timing": {"pool_longest_ms": longest}},
         "clients": {"rate": rate, "classes": [{"name": "chat"}], "leave_early": 0.0, "leave_at_first": 0.0},
         "faults": [
-            {"what": "engine_crash", "to": "e:[rw]0", "at": begin + load_seconds - 8.0, "for_s": 1.0},
-            {"what": "kill", "to": "n*", "at": begin + load_seconds, "for_s": 0.3},
+            {"what": "engine_crash", "to": "e:[rw]0", "at": begin + before - 8.0, "for_s": 1.0},
+            {"what": "kill", "to": "n*", "at": begin + before, "for_s": 0.3},
         ],
     }), begin  # fmt: skip
 
@@ -80,12 +80,12 @@
 
 def run_case(case: tuple[int, int, float, float, int]) -> tuple[int, dict[str, float], list[str]]:
     """Run one case; return the number of nodes, its measurements and its problems."""
-    nodes, seed, rate, load_seconds, max_idle_ms = case
-    text, begin = script(nodes, rate, load_seconds, max_idle_ms)
+    nodes, seed, rate, before, longest = case
+    text, begin = script(nodes, rate, before, longest)
     with tempfile.TemporaryDirectory(prefix="engines-") as folder:
         made = play(parse_script(text), seed, Path(folder) / "play")
     breaches = [str(b) for b in made.verdict.breaches] if made.verdict is not None else []
-    return nodes, measurements(made, begin + load_seconds), [*made.trouble, *breaches[:5]]
+    return nodes, measurements(made, begin + before), [*made.trouble, *breaches[:5]]
 
 
 @click.command()
@@ -94,12 +94,12 @@
 @click.option("--first", default=1)
 @click.option("--rate", default=40.0)
 @click.option("--side-by-side", "parallel", default=1)
-@click.option("--before", "load_seconds", default=14.0, help="Seconds of load before the nodes are killed.")
-@click.option("--longest", "max_idle_ms", default=60_000, help="timing.pool_longest_ms of the nodes.")
-def main(nodes: str, seeds: int, first: int, rate: float, parallel: int, load_seconds: float, max_idle_ms: int) -> None:
+@click.option("--before", default=14.0, help="Seconds of load before the nodes are killed.")
+@click.option("--longest", default=60_000, help="timing.pool_longest_ms of the nodes.")
+def main(nodes: str, seeds: int, first: int, rate: float, parallel: int, before: float, longest: int) -> None:
     """Run the fleets and print the measurements."""
     results: dict[int, list[dict[str, Any]]] = {int(n): [] for n in nodes.split(",")}
-    cases = [(n, seed, rate, load_seconds, max_idle_ms) for n in results for seed in range(first, first + seeds)]
+    cases = [(n, seed, rate, before, longest) for n in results for seed in range(first, first + seeds)]
     with ProcessPoolExecutor(parallel, mp_context=get_context("spawn")) as pool:
         for (n, seed, *_), (_, measured, problems) in zip(cases, pool.map(run_case, cases), strict=True):
             results[n].append(measured)
