--- a/benchmarks/cases.py
+++ b/benchmarks/cases.py
@@ -1,5 +1,5 @@
-"""How the cases in ``tests/cases`` were made: a live node with the module as it was before each fix, on stand-ins under the
-trouble that the fix is for, captured, and cut where the fix first decides otherwise.  Needs the project's history.
+"""Makes the cases in ``tests/cases``: a live node with logic.py as it was before each fix runs on emulated engines under
+the fault that the fix is for; its capture is cut where the fix first decides otherwise.  Needs the project's history.
 
     .venv/bin/python -m benchmarks.cases OUT [NAME ...]
 """
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True)
 class Recipe:
-    """One failure met: the commit that mended it, and the trouble under which it shows."""
+    """One failure: the commit that fixed it, and the fault under which it shows."""
 
     fixed_by: str
     title: str
     found: str
-    trouble: Callable[[Harness], None]
+    fault: Callable[[Harness], None]
     clients: int = 12
     seconds: float = 4.0
     words: tuple[int, int] = (50, 3_000)
@@ -61,7 +61,7 @@
 
 
 def nothing(node: Harness) -> None:
-    """No trouble but the load."""
+    """No fault but the load."""
 
 
 HEAVY = {"read_rate": 30_000.0, "token_ms": 4.0}
@@ -102,7 +102,7 @@
 
 
 def live(recipe: Recipe, old: revision.Module, folder: Path, seed: int) -> None:
-    """Run the node with the old module, captured."""
+    """Run the node with the old logic.py and capture it."""
     settings = {
         **recipe.settings,
         "capture": {"dir": str(folder), "flush_ms": 20},
@@ -127,13 +127,13 @@
         threads = [threading.Thread(target=one, args=(n,)) for n in range(recipe.clients)]
         for thread in threads:
             thread.start()
-        recipe.trouble(node)
+        recipe.fault(node)
         for thread in threads:
             thread.join(20.0)
 
 
 def make(name: str, out: Path, tries: int = 3) -> bool:
-    """Make one case; whether it came about."""
+    """Make one case; returns whether the fault appeared."""
     recipe = RECIPES[name]
     old, new = revision.load(recipe.fixed_by + "^"), revision.load(recipe.fixed_by)
     for seed in range(tries):
@@ -153,7 +153,7 @@
 
 
 def main() -> None:
-    """Make all, or those named."""
+    """Make all cases, or those named."""
     out = Path(sys.argv[1])
     out.mkdir(parents=True, exist_ok=True)
     for name in sys.argv[2:] or RECIPES:
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -1,10 +1,10 @@
-"""What a whole fleet's nodes send to cold engines, in simulated time, against what each of these may be sent.
+"""What all nodes of a fleet send to engines in slow start, in simulated time, against the budget of each engine.
 
 .venv/bin/python -m benchmarks.cold [--nodes 10,200] [--seeds 20] [--load 1,2,3] [--case all,one]
 
-``all``: the first list has every engine cold, started now.  ``one``: two of six readers crash and come back cold under
-load.  Load is in what the readers can do when warm.  The figure is the judge's: work sent over the window, of the
-budget then (`fleet/rules.py`, rule 4); over 1.0 the engine falls.
+``all``: in the first list every engine starts now.  ``one``: two of six prefill engines crash and come back in slow start
+under load.  Load is in units of what the prefill engines carry when warm.  The figure is the judge's: work sent in the
+window, as a share of the budget at that time (`fleet/rules.py`, rule 4); above 1.0 the engine fails.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from stonetrack.fleet.traffic import Traffic
 
 MS = 1_000_000
-READERS, WRITERS = 6, 6
+PREFILL_ENGINES, DECODE_ENGINES = 6, 6
 SECONDS = 8.0
-PROMPT = (200, 1_400)  # tokens, evenly drawn
+PROMPT = (200, 1_400)  # tokens, uniform
 
 
 def settings(nodes: int) -> list[api.Settings]:
-    """Of each node."""
+    """Settings of each node."""
     cls = api.RequestClass("chat", 2 * SECOND, 40 * MS, 80 * MS, 6 * SECOND, 1.0, 0.2)
     kinds = (api.Kind(Role.PREFILL, 200_000), api.Kind(Role.DECODE, 200_000))
     return [
@@ -40,13 +40,13 @@
 
 
 def one(case: tuple[str, int, float, int]) -> tuple[float, float, int]:
-    """Most of a cold budget used, the share served, engines that fell."""
+    """Largest share of a slow-start budget used, share of the requests served, engines that failed."""
     which, nodes, load, seed = case
     draw = random.Random(f"{case}")
     specs = [Spec(name=f"{role[0]}{n}", role=Role(role), cell=n % 2, warm_ms=4_000, cold_window_ms=1_500,
-                  read_rate=10_000.0) for role in ("reader", "writer") for n in range(READERS)]  # fmt: skip
+                  read_rate=10_000.0) for role in ("reader", "writer") for n in range(PREFILL_ENGINES)]  # fmt: skip
     play = Play(settings(nodes), specs, seed, cold=which == "all")
-    rate = load * READERS * 10_000.0 / (sum(PROMPT) / 2)
+    rate = load * PREFILL_ENGINES * 10_000.0 / (sum(PROMPT) / 2)
     asks: list[Ask] = []
     at = 0.0
     while (at := at + draw.expovariate(rate)) < SECONDS:
@@ -57,8 +57,8 @@
         play.crash("r1", 2.0, 0.5)
     answered = play.run(asks, SECONDS + 7.0)
     judge = Judge([], play.log, [], [Traffic(name="chat")])
-    fell = sum("fell over" in breach.text for breach in judge.cold())
-    return judge.margins["4 cold budget"], sum(a.ended == "served" for a in answered) / len(answered), fell
+    failed = sum("fell over" in breach.text for breach in judge.cold())
+    return judge.margins["4 cold budget"], sum(a.ended == "served" for a in answered) / len(answered), failed
 
 
 @click.command()
