--- a/stonetrack/node/invariants.py
+++ b/stonetrack/node/invariants.py
@@ -28,7 +28,7 @@
 
 
 class Invariant(Enum):
-    """What must hold for every request; the numbers are those of the user's requirements."""
+    """What must hold for every request; the numbers are those of the standing requirements."""
 
     ONE_ANSWER = 1
     NO_SECOND_EFFECT = 2
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -22,7 +22,7 @@
 from tests.test_edge import SETTINGS
 
 __all__ = ["CHAT", "REPORT", "Platform", "Program", "round_trip", "is_idle", "free_port", "headers", "node", "platform",
-           "program", "up"]  # fmt: skip
+           "program", "is_serving"]  # fmt: skip
 
 
 def free_port() -> int:
@@ -81,7 +81,7 @@
     )
 
 
-def up(port: int) -> bool:
+def is_serving(port: int) -> bool:
     """Whether a node on this port reports that it serves."""
     try:
         client = Client(port, 1.0)
@@ -101,7 +101,7 @@
         self.path.write_bytes(emulated_platform.config())
         env = {**os.environ, "EDGE_CONFIG": str(self.path)}
         self.process = subprocess.Popen([sys.executable, "-m", "stonetrack", "edge"], env=env, stderr=subprocess.PIPE)
-        assert wait_for(lambda: up(emulated_platform.listen)), "the node did not start in time"
+        assert wait_for(lambda: is_serving(emulated_platform.listen)), "the node did not start in time"
 
     def signal(self, number: signal.Signals) -> None:
         self.process.send_signal(number)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -18,7 +18,7 @@
 import pytest
 
 from tests.harness import Client, wait_for
-from tests.platform import platform, round_trip, up
+from tests.platform import is_serving, platform, round_trip
 
 ROOT = Path(__file__).resolve().parents[1]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text("utf-8"))
@@ -83,7 +83,7 @@
             ["/bin/sh", "-c", here(DEPLOY["run"])], cwd=ROOT, env=env, preexec_fn=refuse_calls,
             stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL, stderr=subprocess.PIPE)  # fmt: skip
         try:
-            assert wait_for(lambda: up(world.listen)), "not up in time"
+            assert wait_for(lambda: is_serving(world.listen)), "not up in time"
             client = Client(world.listen)
             assert round_trip(client, "q0")[0].status == 200
             proc = Path("/proc") / str(process.pid)  # the shell became the node: nothing stands between
