--- a/stonetrack/engines/failure_hints.py
+++ b/stonetrack/engines/failure_hints.py
@@ -46,4 +46,4 @@
 
 def last_success_lookup(servers: Callable[[], Mapping[str, object]]) -> Callable[[str], int]:
     """Returns a lookup of a router's last success at a server, in its table; 0 for an unknown server."""
-    return lambda name: int(getattr(servers().get(name), "good_at", 0))
+    return lambda name: int(getattr(servers().get(name), "success_at", 0))
