--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -208,7 +208,7 @@
 
 def test_the_check_finds_an_engine_blamed_for_a_lack_of_local_ports(monkeypatch: pytest.MonkeyPatch) -> None:
     """Negative control: a lack of local ports is classified as the engine's fault."""
-    monkeypatch.setattr("stonetrack.node.system_errors._GENERAL", {errno.EADDRNOTAVAIL: ErrorClass.PEER})
+    monkeypatch.setattr("stonetrack.node.system_errors._BY_CODE", {errno.EADDRNOTAVAIL: ErrorClass.PEER})
     with platform() as emulated, node(emulated) as edge_node:
         faulty = Faulty(SystemCall.CONNECT, errno.EADDRNOTAVAIL, 1, 8, emulated.listen)
         with faults(faulty):
