--- a/tests/harness.py
+++ b/tests/harness.py
@@ -120,12 +120,12 @@
         **spec: Any) -> Iterator[Harness]:  # fmt: skip
     """A running harness."""
     engines = specs or small_fleet(prefill, decode, mixed, **{**QUICK, **spec})
-    made = Harness(Fleet(engines=engines, list_delay_ms=list_delay_ms), settings or {}, make_router)
+    running = Harness(Fleet(engines=engines, list_delay_ms=list_delay_ms), settings or {}, make_router)
     try:
-        made.node.start()
-        yield made
+        running.node.start()
+        yield running
     finally:
-        made.close()
+        running.close()
 
 
 class Client:
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -51,33 +51,33 @@
 
 @contextmanager
 def platform(prefill_engines: int = 2, decode_engines: int = 2) -> Iterator[Platform]:
-    made = Platform(prefill_engines, decode_engines)
+    emulated_platform = Platform(prefill_engines, decode_engines)
     try:
-        yield made
+        yield emulated_platform
     finally:
-        made.close()
+        emulated_platform.close()
 
 
 @contextmanager
 def node(emulated_platform: Platform, traced: bool = False, **limits: Any) -> Iterator[EdgeNode]:
     """A node in this process."""
-    made = EdgeNode(parse(emulated_platform.config(**limits)), traced)
-    made.start()
+    edge_node = EdgeNode(parse(emulated_platform.config(**limits)), traced)
+    edge_node.start()
     try:
-        yield made
+        yield edge_node
     finally:
-        made.stop()
+        edge_node.stop()
 
 
-def is_idle(made: EdgeNode) -> bool:
+def is_idle(edge_node: EdgeNode) -> bool:
     """Whether no attempt, queue entry or held state is counted anywhere."""
-    router = made.core.router
+    router = edge_node.core.router
     servers = router.servers.values()  # type: ignore[attr-defined]
     return not (
         router.requests  # type: ignore[attr-defined]
         or any(s.unanswered or s.streams or s.held_states or s.pending_tokens for s in servers)
-        or made.core.open_requests
-        or made.releases.open
+        or edge_node.core.open_requests
+        or edge_node.releases.open
     )
 
 
@@ -116,11 +116,11 @@
 
 @contextmanager
 def program(emulated_platform: Platform, folder: Path) -> Iterator[Program]:
-    made = Program(emulated_platform, folder)
+    node_process = Program(emulated_platform, folder)
     try:
-        yield made
+        yield node_process
     finally:
-        made.end()
+        node_process.end()
 
 
 def headers(request_id: str, **changes: str) -> str:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -52,18 +52,18 @@
 
 @contextmanager
 def bare_host(**limits: int) -> Iterator[BareHost]:
-    made = BareHost(**limits)
-    made.host.start()
+    bare = BareHost(**limits)
+    bare.host.start()
     try:
-        yield made
+        yield bare
     finally:
-        made.host.stop()
-        made.listener.close()
+        bare.host.stop()
+        bare.listener.close()
 
 
 @contextmanager
-def system(made: System) -> Iterator[None]:
-    real, sockets.SYSTEM = sockets.SYSTEM, made
+def system(replacement: System) -> Iterator[None]:
+    real, sockets.SYSTEM = sockets.SYSTEM, replacement
     try:
         yield
     finally:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -150,9 +150,9 @@
                           log=logged.append)  # fmt: skip
 
 
-def noted(made: keeping.Keeper, count: int, first: int = 0) -> None:
+def noted(audit_keeper: keeping.Keeper, count: int, first: int = 0) -> None:
     for n in range(first, first + count):
-        made.note(n, Acting("s.d", "o", n, "1", "m"), f"q{n}", ("Send",))
+        audit_keeper.note(n, Acting("s.d", "o", n, "1", "m"), f"q{n}", ("Send",))
 
 
 @pytest.mark.parametrize("step", ["open", "fsync", "folder"])
@@ -160,19 +160,19 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
     logged: list[str] = []
-    made = keeper(tmp_path, logged)
+    audit_keeper = keeper(tmp_path, logged)
     if step != "folder":  # the very first write creates the file
-        noted(made, 3)
-        made._write(all_of=True)
-    noted(made, 3, 3)
+        noted(audit_keeper, 3)
+        audit_keeper._write(all_of=True)
+    noted(audit_keeper, 3, 3)
     with monkeypatch.context() as patched:
         at = FaultAtStep(patched, step, fails(errno.EIO))
-        made._write(all_of=True)
-        assert at.done and made.trouble and len(logged) == 1
-    noted(made, 3, 6)
-    made._write(all_of=True)
+        audit_keeper._write(all_of=True)
+        assert at.done and audit_keeper.trouble and len(logged) == 1
+    noted(audit_keeper, 3, 6)
+    audit_keeper._write(all_of=True)
     found = keeping.account(tmp_path, "n0")
-    assert not made.trouble and found.findings == ()
+    assert not audit_keeper.trouble and found.findings == ()
     assert len(keeping.files(tmp_path, "n0")) == 2
 
 
@@ -181,17 +181,17 @@
 ) -> None:
     """The error followed after the lines were on disk, and they were written again under the same numbers."""
     logged: list[str] = []
-    made = keeper(tmp_path, logged, most_files=2, file_bytes=1)
+    audit_keeper = keeper(tmp_path, logged, most_files=2, file_bytes=1)
 
     def refused(self: Path, missing_ok: bool = False) -> None:
         raise OSError(errno.EIO, "Input/output error")
 
     monkeypatch.setattr(Path, "unlink", refused)
     for n in range(5):
-        noted(made, 1, n)
-        made._write(all_of=True)
+        noted(audit_keeper, 1, n)
+        audit_keeper._write(all_of=True)
     found = keeping.account(tmp_path, "n0")
-    assert found.findings == () and not made.trouble
+    assert found.findings == () and not audit_keeper.trouble
 
 
 class _FailingStore:
