--- a/tests/platform.py
+++ b/tests/platform.py
@@ -22,7 +22,7 @@
 from tests.test_edge import SETTINGS
 
 __all__ = ["CHAT", "REPORT", "Platform", "Program", "round_trip", "is_idle", "free_port", "headers", "node", "platform",
-           "program", "up"]  # fmt: skip
+           "program", "is_serving"]  # fmt: skip
 
 
 def free_port() -> int:
@@ -51,37 +51,37 @@
 
 @contextmanager
 def platform(prefill_engines: int = 2, decode_engines: int = 2) -> Iterator[Platform]:
-    made = Platform(prefill_engines, decode_engines)
+    emulated_platform = Platform(prefill_engines, decode_engines)
     try:
-        yield made
+        yield emulated_platform
     finally:
-        made.close()
+        emulated_platform.close()
 
 
 @contextmanager
 def node(emulated_platform: Platform, traced: bool = False, **limits: Any) -> Iterator[EdgeNode]:
     """A node in this process."""
-    made = EdgeNode(parse(emulated_platform.config(**limits)), traced)
-    made.start()
+    edge_node = EdgeNode(parse(emulated_platform.config(**limits)), traced)
+    edge_node.start()
     try:
-        yield made
+        yield edge_node
     finally:
-        made.stop()
+        edge_node.stop()
 
 
-def is_idle(made: EdgeNode) -> bool:
+def is_idle(edge_node: EdgeNode) -> bool:
     """Whether no attempt, queue entry or held state is counted anywhere."""
-    router = made.core.router
+    router = edge_node.core.router
     servers = router.servers.values()  # type: ignore[attr-defined]
     return not (
         router.requests  # type: ignore[attr-defined]
         or any(s.unanswered or s.streams or s.held_states or s.pending_tokens for s in servers)
-        or made.core.open_requests
-        or made.releases.open
+        or edge_node.core.open_requests
+        or edge_node.releases.open
     )
 
 
-def up(port: int) -> bool:
+def is_serving(port: int) -> bool:
     """Whether a node on this port reports that it serves."""
     try:
         client = Client(port, 1.0)
@@ -101,7 +101,7 @@
         self.path.write_bytes(emulated_platform.config())
         env = {**os.environ, "EDGE_CONFIG": str(self.path)}
         self.process = subprocess.Popen([sys.executable, "-m", "stonetrack", "edge"], env=env, stderr=subprocess.PIPE)
-        assert wait_for(lambda: up(emulated_platform.listen)), "the node did not start in time"
+        assert wait_for(lambda: is_serving(emulated_platform.listen)), "the node did not start in time"
 
     def signal(self, number: signal.Signals) -> None:
         self.process.send_signal(number)
@@ -116,11 +116,11 @@
 
 @contextmanager
 def program(emulated_platform: Platform, folder: Path) -> Iterator[Program]:
-    made = Program(emulated_platform, folder)
+    node_process = Program(emulated_platform, folder)
     try:
-        yield made
+        yield node_process
     finally:
-        made.end()
+        node_process.end()
 
 
 def headers(request_id: str, **changes: str) -> str:
