--- a/stonetrack/background/__init__.py
+++ b/stonetrack/background/__init__.py
@@ -1,7 +1,6 @@
-"""Work that must be done but never in the way: priorities, budgets of time and bytes, deadlines, one thread.
+"""Background jobs: priorities, budgets of time and bytes, deadlines, and one thread that runs them.
 
-:mod:`.timer_wheel` holds what is due later, :mod:`.scheduler` decides what runs next, both without I/O, threads or
-clocks; :mod:`.runner` is the thread that carries it out.
-Inputs: jobs that work in short steps.  Outputs: their steps, in the order and at the pace that the plan gives.
-Must not depend on: requests, or the router.
+:mod:`.timer_wheel` holds the jobs that are due later, :mod:`.scheduler` selects the next job, both without I/O, threads
+or clocks; :mod:`.runner` is the thread that runs the jobs. Inputs: jobs that work in short steps.  Outputs: their
+steps, in the order and at the rate that the scheduler sets. Must not depend on: requests, or the router.
 """
--- a/stonetrack/capture/__init__.py
+++ b/stonetrack/capture/__init__.py
@@ -1,7 +1,7 @@
-"""What the module was told and what it decided, kept on disk, and the same decisions again.
+"""Captures: events that a router received and the actions it returned, kept on disk and replayed.
 
-:mod:`.codec` turns events and actions into bytes and back, :mod:`.segment` is the file format, both without I/O;
-:mod:`.recorder` writes segments off the hot path, :mod:`.replay` feeds them to a fresh router.
-Inputs: (clock, event, actions) from the node's core.  Outputs: segments; the first decision that differs.
-Must not depend on: prompts, answers, keys of clients, or the order in which the router is told.
+:mod:`.codec` encodes events and actions and decodes them, :mod:`.segment` is the file format, both without I/O;
+:mod:`.recorder` writes segments off the hot path, :mod:`.replay` feeds them to a new router. Inputs: (clock, event,
+actions) from the node's core.  Outputs: segments; the first decision that differs. Must not depend on: prompts,
+answers, API keys of clients, or the order in which the router receives events.
 """
--- a/stonetrack/capture/codec.py
+++ b/stonetrack/capture/codec.py
@@ -1,16 +1,17 @@
-"""Events, actions and settings of the module as msgpack, and back, byte for byte.
+"""Encodes events, actions and settings of the router's module as msgpack, and decodes them to equal values.
 
 A record is an array: ``[kind, …]``.  Kinds:
 
-- ``HEADER``: ``[0, format, code version, instance, seed, settings]``: a router begins; what follows is told to it.
-- ``EVENT``: ``[1, clock, event, [action, …]]``: one call of ``Router.handle`` and what it returned.
-- ``GAP``: ``[2, clock, count]``: so many calls are missing here; the replay of this router ends before them.
-- ``STATE``: ``[3, clock, code version, snapshot]``: what the router held then (:mod:`.snapshot`); replay goes on
+- ``HEADER``: ``[0, format, code version, instance, seed, settings]``: a router is created; the records after it belong
+  to this router.
+- ``EVENT``: ``[1, clock, event, [action, …]]``: one call of ``Router.handle`` and the actions that it returned.
+- ``GAP``: ``[2, clock, count]``: ``count`` calls are missing here; the replay of this router ends before them.
+- ``STATE``: ``[3, clock, code version, snapshot]``: the router's state at that time (:mod:`.snapshot`); replay resumes
   from it.
 
-An event or action is ``[name, field, …]`` in the order of its dataclass; enums are their values.  Codecs are made from
-the types at import: a field of a type that has none fails there, so that no capture lacks it silently, and a capture
-with another number of fields is refused by name.
+An event or action is ``[name, field, …]`` in the order of its dataclass; enums are written as their values.  Codecs are
+made from the types at import: a field of an unsupported type fails there, so no capture omits it silently.  A capture
+with another number of fields is rejected, and the error names the class.
 """
 
 from __future__ import annotations
@@ -32,12 +33,12 @@
 
 
 class CaptureError(ValueError):
-    """A capture that can't be read; the text names segment, offset and what was found."""
+    """A capture that can't be read; the message names the segment, the offset and what was found."""
 
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """A router's beginning."""
+    """The creation of a router."""
 
     version: str
     instance: str
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call of ``Router.handle``: nanoseconds of the node's clock, what it was told, what it decided."""
+    """One call of ``Router.handle``: the node's clock in nanoseconds, the event, and the returned actions."""
 
     at: int
     event: api.Event
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """Calls that are missing."""
+    """A number of missing calls."""
 
     at: int
     count: int
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """What the router held, after the calls before it."""
+    """The router's state after the calls before this record."""
 
     at: int
     version: str
@@ -75,26 +76,26 @@
 EventOrAction = Any  # an event or an action
 
 
-def _classes(union: Any) -> dict[str, type]:
+def _classes_of(union: Any) -> dict[str, type]:
     return {cls.__name__: cls for cls in typing.get_args(union)}
 
 
-CLASSES_BY_NAME: dict[str, type] = {**_classes(api.Event), **_classes(api.Action)}
+CLASSES_BY_NAME: dict[str, type] = {**_classes_of(api.Event), **_classes_of(api.Action)}
 Converter = Callable[[Any], Any]
 
 
 def _field_codec(kind: Any) -> tuple[Converter | None, Converter | None]:
-    """How a field's value becomes plain, and plain becomes it; None where it is plain already."""
+    """The encoder and decoder of a field's type; None where the value is stored unchanged."""
     if isinstance(kind, types.UnionType):
         inner = [k for k in typing.get_args(kind) if k is not types.NoneType]
         if len(inner) != 1:
             raise TypeError(f"no codec for {kind}")
         return _optional(*_field_codec(inner[0]))
     if typing.get_origin(kind) is tuple:
-        out, back = _field_codec(typing.get_args(kind)[0])
-        if out is None or back is None:
+        encode_value, decode_value = _field_codec(typing.get_args(kind)[0])
+        if encode_value is None or decode_value is None:
             return list, tuple
-        return (lambda v: [out(each) for each in v]), (lambda v: tuple(back(each) for each in v))
+        return (lambda v: [encode_value(each) for each in v]), (lambda v: tuple(decode_value(each) for each in v))
     if isinstance(kind, type) and issubclass(kind, Enum):
         return (lambda v: v.value), kind
     if dataclasses.is_dataclass(kind) and isinstance(kind, type):
@@ -104,71 +105,78 @@
     raise TypeError(f"no codec for {kind}")
 
 
-def _optional(out: Converter | None, back: Converter | None) -> tuple[Converter | None, Converter | None]:
-    if out is None or back is None:
+def _optional(
+    encode_value: Converter | None, decode_value: Converter | None
+) -> tuple[Converter | None, Converter | None]:
+    if encode_value is None or decode_value is None:
         return None, None
-    return (lambda v: None if v is None else out(v)), (lambda v: None if v is None else back(v))
+    return (lambda v: None if v is None else encode_value(v)), (lambda v: None if v is None else decode_value(v))
 
 
 def _struct_codec(cls: type) -> tuple[Converter, Converter]:
     hints = typing.get_type_hints(cls)
     names = [field.name for field in dataclasses.fields(cls)]
     codecs = [_field_codec(hints[name]) for name in names]
-    outs = [(name, out) for name, (out, _) in zip(names, codecs, strict=True)]
-    backs = [back for _, back in codecs]
+    encoders = [(name, encode_value) for name, (encode_value, _) in zip(names, codecs, strict=True)]
+    decoders = [decode_value for _, decode_value in codecs]
 
-    def encode(thing: Any) -> list[Any]:
-        return [getattr(thing, name) if out is None else out(getattr(thing, name)) for name, out in outs]
+    def encode(message: Any) -> list[Any]:
+        return [
+            getattr(message, name) if encode_value is None else encode_value(getattr(message, name))
+            for name, encode_value in encoders
+        ]
 
     def decode(values: list[Any]) -> Any:
-        if len(values) != len(backs):
-            known = f"{len(backs)}: {', '.join(names)}"
+        if len(values) != len(decoders):
+            known = f"{len(decoders)}: {', '.join(names)}"
             raise CaptureError(f"{cls.__name__}: {len(values)} fields; this version knows {known}")
-        return cls(*[v if back is None else back(v) for v, back in zip(values, backs, strict=True)])
+        return cls(
+            *[v if decode_value is None else decode_value(v) for v, decode_value in zip(values, decoders, strict=True)]
+        )
 
     return encode, decode
 
 
 _CODECS = {name: _struct_codec(cls) for name, cls in CLASSES_BY_NAME.items()}
-_pack = msgspec.msgpack.Encoder().encode
-_unpack = msgspec.msgpack.Decoder().decode
+_encode_msgpack = msgspec.msgpack.Encoder().encode
+_decode_msgpack = msgspec.msgpack.Decoder().decode
 
 
-def to_array(thing: EventOrAction) -> list[Any]:
-    """An event or action as an array of its name and fields."""
-    name = type(thing).__name__
-    return [name, *_CODECS[name][0](thing)]
+def to_array(message: EventOrAction) -> list[Any]:
+    """An event or action as an array of its class name and fields."""
+    name = type(message).__name__
+    return [name, *_CODECS[name][0](message)]
 
 
 def from_array(values: Any) -> EventOrAction:
-    """The event or action of :func:`to_array`.  Raises CaptureError."""
+    """The event or action that :func:`to_array` encoded.  Raises CaptureError."""
     if not isinstance(values, list) or not values or values[0] not in _CODECS:
         raise CaptureError(f"an event or action of no known kind: {str(values)[:60]!r}")
     return _CODECS[values[0]][1](values[1:])
 
 
 def encode_call(at: int, event: api.Event, actions: typing.Sequence[api.Action]) -> bytes:
-    """One call's record."""
-    return _pack([EVENT, at, to_array(event), [to_array(action) for action in actions]])
+    """The encoded record of one call."""
+    return _encode_msgpack([EVENT, at, to_array(event), [to_array(action) for action in actions]])
 
 
 def encode(record: Record) -> bytes:
-    """Any record."""
+    """Any record, encoded."""
     match record:
         case Header(version, instance, seed, settings):
-            return _pack([HEADER, FORMAT, version, instance, seed, msgspec.to_builtins(settings)])
+            return _encode_msgpack([HEADER, FORMAT, version, instance, seed, msgspec.to_builtins(settings)])
         case Call(at, event, actions):
             return encode_call(at, event, actions)
         case Gap(at, count):
-            return _pack([GAP, at, count])
+            return _encode_msgpack([GAP, at, count])
         case State(at, version, data):
-            return _pack([STATE, at, version, data])
+            return _encode_msgpack([STATE, at, version, data])
 
 
 def decode(data: bytes) -> Record:
-    """The record of some bytes.  Raises CaptureError."""
+    """Decode a record.  Raises CaptureError."""
     try:
-        raw = _unpack(data)
+        raw = _decode_msgpack(data)
         kind = raw[0]
         if kind == EVENT:
             _, at, event, actions = raw
@@ -189,5 +197,5 @@
 
 
 def request_of(event: api.Event) -> str:
-    """The request an event is about, empty for none."""
+    """The id of the request that an event concerns, empty for none."""
     return getattr(event, "request", "")
--- a/stonetrack/capture/compare.py
+++ b/stonetrack/capture/compare.py
@@ -1,14 +1,14 @@
-"""Two revisions of the module told the same: which decisions differ, and by what cause.
+"""Compares two revisions of the router's module on one capture: which decisions differ, and by what cause.
 
-Theory.  A capture is one history; a changed module would have made another one, and from its first different
-decision on the events that were captured are no longer those that it would have met.  So decisions are compared *one
-step at a time*: both routers hold the same state, both are told the same event, and where they differ the other is
-set to the state of the first again, by a snapshot, before the next event.  Each row is then a decision that differs
-on equal knowledge, and none is an echo of an earlier one.  Where the other revision's router holds other fields, a
-snapshot can't be carried over; then it goes on by itself, requests that were decided otherwise are set aside, and
-the table says so.
+Theory.  A capture is one history; a changed module would have caused another one, and after its first different
+decision the captured events are no longer those that it would have received.  So decisions are compared *step by step*:
+both routers hold the same state and receive the same event, and where they differ the other router is reset to the
+state of the first, by a snapshot, before the next event.  Each row is then a decision that differs with equal
+knowledge, not a consequence of an earlier row.  If the other revision's router has other fields, a snapshot can't be
+transferred; then that router continues independently, later calls about requests that were decided differently are
+excluded, and the table says so.
 
-Invariant: rows = calls whose actions differ in plain form.  Cost: two routers, and one snapshot a row.
+Invariant: rows = calls whose encoded actions differ.  Cost: two routers, and one snapshot per row.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionChange:
-    """One call that the two decide differently."""
+    """One call for which the two revisions return different actions."""
 
     number: int
     call: Call
@@ -40,10 +40,10 @@
 
 @dataclass
 class Comparison:
-    """What came of a comparison."""
+    """The result of a comparison."""
 
     calls: int = 0
-    excluded_calls: int = 0  # calls about requests that went another way before, where states can't be carried over
+    excluded_calls: int = 0  # calls about requests that diverged before, when snapshots can't be transferred
     stepwise: bool = True
     changes: list[DecisionChange] = field(default_factory=list)
     causes: Counter[str] = field(default_factory=Counter)
@@ -53,7 +53,7 @@
     return [a for a in actions if isinstance(a, api.Send)]
 
 
-def _exceptions(reasons: list[explain.Reason], what: str) -> set[str]:
+def _exception_names(reasons: list[explain.Reason], what: str) -> set[str]:
     found: set[str] = set()
     for reason in reasons:
         if isinstance(reason, explain.Choice) and reason.what == what:
@@ -65,19 +65,21 @@
     return next((r for r in reasons if isinstance(r, explain.Choice) and r.what == what), None)
 
 
-def _why_server(ours: list[explain.Reason], theirs: list[explain.Reason], what: str) -> str:
-    """What made two choices of a server differ: who stood, an exception, or the scores."""
-    one, other = _choice(ours, what), _choice(theirs, what)
-    if one is None or other is None:
+def _server_cause(ours: list[explain.Reason], theirs: list[explain.Reason], what: str) -> str:
+    """Why two choices of a server differ: the eligible servers, an exception, or the scores."""
+    our_choice, their_choice = _choice(ours, what), _choice(theirs, what)
+    if our_choice is None or their_choice is None:
         return f"{what}: not comparable"
-    stood = [{c.name for c in choice.candidates if not c.out} for choice in (one, other)]
-    if stood[0] != stood[1]:
-        first = sorted(stood[0] ^ stood[1])[0]
-        out = next((c.out for choice in (one, other) for c in choice.candidates if c.name == first and c.out), "")
-        return f"{what}: who stands to choice ({out.partition(',')[0] or 'unknown'})"
-    mine, its = _exceptions(ours, what), _exceptions(theirs, what)
-    if mine != its:
-        return f"{what}: exception {', '.join(sorted(mine ^ its))}"
+    eligible = [{c.name for c in choice.candidates if not c.out} for choice in (our_choice, their_choice)]
+    if eligible[0] != eligible[1]:
+        first = sorted(eligible[0] ^ eligible[1])[0]
+        exclusion = next(
+            (c.out for choice in (our_choice, their_choice) for c in choice.candidates if c.name == first and c.out), ""
+        )
+        return f"{what}: who stands to choice ({exclusion.partition(',')[0] or 'unknown'})"
+    our_exceptions, their_exceptions = _exception_names(ours, what), _exception_names(theirs, what)
+    if our_exceptions != their_exceptions:
+        return f"{what}: exception {', '.join(sorted(our_exceptions ^ their_exceptions))}"
     return f"{what}: scores or ties"
 
 
@@ -85,20 +87,20 @@
     ours: tuple[api.Action, ...], theirs: tuple[api.Action, ...],
     our_reasons: list[explain.Reason], their_reasons: list[explain.Reason],
 ) -> str:  # fmt: skip
-    """One line that says in which way two decisions differ; ``A -> B`` reads: the first decides A, the other B."""
+    """One line that describes how two decisions differ; ``A -> B`` means that the first decides A, the other B."""
     for action in (*ours, *theirs):
         if isinstance(action, api.Log) and action.text.startswith(RAISED):
             return action.text
-    for one, other in zip(_sends(ours), _sends(theirs), strict=False):
-        if one.server != other.server and one.request == other.request:
+    for our_send, their_send in zip(_sends(ours), _sends(theirs), strict=False):
+        if our_send.server != their_send.server and our_send.request == their_send.request:
             roles = [c for r in (*our_reasons, *their_reasons) if isinstance(r, explain.Choice)
-                     for c in r.candidates if c.name == one.server]  # fmt: skip
+                     for c in r.candidates if c.name == our_send.server]  # fmt: skip
             reads = bool(roles) and roles[0].role == "reader"
-            return _why_server(our_reasons, their_reasons, "reader" if reads else "writer")
+            return _server_cause(our_reasons, their_reasons, "reader" if reads else "writer")
     kinds = [Counter(type(a).__name__ for a in actions) for actions in (ours, theirs)]
-    gone, new = kinds[0] - kinds[1], kinds[1] - kinds[0]
-    if gone or new:
-        words = [" and ".join(sorted(c.elements())) or "nothing" for c in (gone, new)]
+    missing, added = kinds[0] - kinds[1], kinds[1] - kinds[0]
+    if missing or added:
+        words = [" and ".join(sorted(c.elements())) or "nothing" for c in (missing, added)]
         return f"{words[0]} -> {words[1]}"
     for a, b in zip(ours, theirs, strict=True):
         if type(a) is not type(b):
@@ -109,13 +111,13 @@
     return "nothing"
 
 
-def _request(call: Call, ours: Iterable[api.Action], theirs: Iterable[api.Action]) -> str:
+def _request_id(call: Call, ours: Iterable[api.Action], theirs: Iterable[api.Action]) -> str:
     about = codec.request_of(call.event)
     return about or next((r for a in (*ours, *theirs) if (r := getattr(a, "request", ""))), "")
 
 
 class _Side:
-    """One revision's router with its reasons."""
+    """One revision's router with its recorded reasons."""
 
     def __init__(self, module: Module) -> None:
         self.module = module
@@ -125,64 +127,64 @@
     def begin(self, settings: api.Settings, seed: int) -> None:
         self.router = self.module.make(settings, seed, self.cls)
 
-    def set_to(self, data: bytes) -> None:
+    def restore(self, data: bytes) -> None:
         self.router = snapshot.restore(data, self.cls, self.module.logic)
 
     def handle(self, call: Call) -> tuple[api.Action, ...]:
         self.reasons.clear()
         try:
             return tuple(self.router.handle(call.at, call.event))
-        except (KeyError, AttributeError, ValueError) as error:  # an old revision that this history breaks
+        except (KeyError, AttributeError, ValueError) as error:  # this history may be impossible for an old revision
             return (api.Log(f"{RAISED} {type(error).__name__}: {error}"),)
 
 
 def compare(records: Iterable[tuple[int, Record]], other: Module, ours: Module | None = None) -> Comparison:
-    """Tell both the same, numbered records, and collect what differs."""
+    """Feed numbered records to both revisions and collect the differences."""
     result = Comparison()
-    one, two = _Side(ours or current()), _Side(other)
-    apart: set[str] = set()
+    our_side, their_side = _Side(ours or current()), _Side(other)
+    diverged: set[str] = set()
     for number, record in records:
         if isinstance(record, Header):
-            one.begin(record.settings, record.seed)
-            two.begin(record.settings, record.seed)
-            apart.clear()
+            our_side.begin(record.settings, record.seed)
+            their_side.begin(record.settings, record.seed)
+            diverged.clear()
         elif isinstance(record, State):
             try:
-                one.set_to(record.data)
-                two.set_to(record.data)
+                our_side.restore(record.data)
+                their_side.restore(record.data)
             except CaptureError:
                 result.stepwise = False
-                one.router = two.router = None
+                our_side.router = their_side.router = None
         elif isinstance(record, Gap):
-            one.router = two.router = None
-        elif one.router is not None:
+            our_side.router = their_side.router = None
+        elif our_side.router is not None:
             result.calls += 1
-            _step(result, number, record, one, two, apart)
+            _step(result, number, record, our_side, their_side, diverged)
     return result
 
 
-def _step(result: Comparison, number: int, call: Call, one: _Side, two: _Side, apart: set[str]) -> None:
-    mine, its = one.handle(call), two.handle(call)
-    if mine == its:
+def _step(result: Comparison, number: int, call: Call, our_side: _Side, their_side: _Side, diverged: set[str]) -> None:
+    our_actions, their_actions = our_side.handle(call), their_side.handle(call)
+    if our_actions == their_actions:
         return
-    request = _request(call, mine, its)
-    if request in apart:
+    request = _request_id(call, our_actions, their_actions)
+    if request in diverged:
         result.excluded_calls += 1
         return
-    cause = describe_cause(mine, its, one.reasons, two.reasons)
+    cause = describe_cause(our_actions, their_actions, our_side.reasons, their_side.reasons)
     result.causes[cause] += 1
-    result.changes.append(DecisionChange(number, call, mine, its, cause, request))
+    result.changes.append(DecisionChange(number, call, our_actions, their_actions, cause, request))
     if result.stepwise:
         try:
-            two.set_to(snapshot.take(one.router))
+            their_side.restore(snapshot.take(our_side.router))
             return
         except (CaptureError, AttributeError, TypeError):
             result.stepwise = False
-    apart.add(request)
+    diverged.add(request)
 
 
-def table(compared: Comparison, names: tuple[str, str], most: int = 12) -> Iterator[str]:
-    """The comparison as lines: how many by cause, with the first of each."""
+def table(compared: Comparison, names: tuple[str, str], max_rows: int = 12) -> Iterator[str]:
+    """The comparison as lines: the number of calls by cause, with the first call of each."""
     yield f"{compared.calls} calls, {len(compared.changes)} decided otherwise by {names[1]} than by {names[0]}"
     if not compared.stepwise:
         yield (
@@ -192,9 +194,9 @@
     if not compared.causes:
         return
     yield f"  {'calls':>6}  {'cause (' + names[0] + ' -> ' + names[1] + ')':<80}first"
-    for cause, count in compared.causes.most_common(most):
+    for cause, count in compared.causes.most_common(max_rows):
         first = next(c for c in compared.changes if c.cause == cause)
         shown = cause if len(cause) <= 78 else cause[:77] + "…"
         yield f"  {count:>6}  {shown:<80}call {first.number} {first.request}"
-    if len(compared.causes) > most:
-        yield f"  {sum(c for _, c in compared.causes.most_common()[most:]):>6}  other causes"
+    if len(compared.causes) > max_rows:
+        yield f"  {sum(c for _, c in compared.causes.most_common()[max_rows:]):>6}  other causes"
--- a/stonetrack/capture/history.py
+++ b/stonetrack/capture/history.py
@@ -1,9 +1,9 @@
-"""Reads a folder of captures as histories, one for each router, whatever happened to the files.
+"""Reads a folder of captures as one history for each router, also from damaged or incomplete files.
 
-Every block says the number of its first record, and numbers run on from segment to segment.  So a hole is known
-exactly: a flipped bit, a missing segment or a torn tail shows as a jump, and a :class:`Gap` stands in its place, so
-that nothing after it is replayed as if nothing were missing.  What follows stays readable; replay goes on at the
-next snapshot.
+Every block states the number of its first record, and numbers continue from segment to segment.  So every gap is known
+exactly: a flipped bit, a missing segment or a torn tail shows as a jump in the numbers, and a :class:`Gap` takes its
+place, so that the records after it are not replayed as if nothing were missing.  They stay readable; replay resumes at
+the next snapshot.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 def router_name(path: Path) -> str:
-    """The router of a segment's name: ``NAME.START`` of ``NAME.START-CLOCK.cap``."""
+    """The router in a segment's file name: ``NAME.START`` of ``NAME.START-CLOCK.cap``."""
     return path.stem.rpartition("-")[0]
 
 
 def segments_by_router(path: Path) -> dict[str, list[Path]]:
-    """Segments by router, in order: of a folder, or one file's."""
+    """The segments of a folder, or a single file, by router and in order."""
     files = sorted(path.glob(f"*{SEGMENT_SUFFIX}")) if path.is_dir() else [path]
     found: dict[str, list[Path]] = {}
     for file in files:
@@ -34,19 +34,19 @@
 
 @dataclass
 class HistoryReader:
-    """One router's records, numbered as they were written; what is wrong is added to ``damage`` on the way."""
+    """One router's records with their numbers; iteration appends defects of the files to ``damage``."""
 
     files: list[Path]
     damage: list[str] = field(default_factory=list)
-    torn_tails: int = 0  # tails cut by a kill: told in ``damage``, but no fault of the file
-    next_number: int | None = None  # number of the next record
-    replayed_from: int = 0  # the record at which a replay began
+    torn_tails: int = 0  # tails cut off by a kill: listed in ``damage``, but no corruption
+    next_number: int | None = None  # number of the next record, if the segments have no gap
+    replayed_from: int = 0  # the record at which a replay starts
 
     def __iter__(self) -> Iterator[tuple[int, Record]]:
         return self.records()
 
     def records(self, first: int = 0, end: int | None = None) -> Iterator[tuple[int, Record]]:
-        """The records from one number up to another; blocks wholly outside are passed over unread."""
+        """The records from number ``first`` up to ``end``; blocks entirely outside the range are not decoded."""
         self.next_number = None
         for path in self.files:
             try:
@@ -54,20 +54,20 @@
             except OSError as error:
                 self.damage.append(f"{path.name}: {error.strerror}")
                 continue
-            blocks, wrong = segment.scan_blocks(data)
-            if wrong is not None:
-                self.torn_tails += wrong.torn
-                self.damage.append(f"{path.name}: offset {wrong.offset}: {wrong.text}")
+            blocks, defect = segment.scan_blocks(data)
+            if defect is not None:
+                self.torn_tails += defect.torn
+                self.damage.append(f"{path.name}: offset {defect.offset}: {defect.text}")
             for block in blocks:
                 if end is not None and block.first >= end:
                     return
-                if block.first > first:  # a hole before what is asked for is none of its
-                    yield from self._hole(path, block)
+                if block.first > first:  # a gap before the requested range does not matter
+                    yield from self._gap_before(path, block)
                 if block.first + block.records > first:
                     yield from self._block(path, data, block, first)
                 self.next_number = block.first + block.records
 
-    def _hole(self, path: Path, block: Block) -> Iterator[tuple[int, Record]]:
+    def _gap_before(self, path: Path, block: Block) -> Iterator[tuple[int, Record]]:
         if self.next_number is None or block.first == self.next_number:
             return
         lost = block.first - self.next_number
--- a/stonetrack/capture/parallel.py
+++ b/stonetrack/capture/parallel.py
@@ -1,8 +1,8 @@
-"""A long replay cut at its stored states and run by several processes.
+"""Splits a long replay at its stored snapshots and runs the pieces in several processes.
 
-Each piece begins at a stored state and must end in the next one, byte for byte.  So if every piece decides as
-captured and ends where the next begins, the whole does: the chain of states is the proof, and pieces may run in any
-order.  A piece whose end is another state than the stored one is reported as a difference there.
+Each piece starts from a stored snapshot and must end in the next one, byte for byte.  If every piece makes the captured
+decisions and ends where the next begins, so does the whole history; the chain of snapshots proves it, and pieces may
+run in any order.  A piece that ends in another state than the stored one is reported as a difference there.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Piece:
-    """Records ``first`` up to ``end`` of a router (None: to its last), from a stored state unless ``first`` is 0."""
+    """Records ``first`` up to ``end`` of a router (None: to its last), from a stored snapshot unless ``first`` is 0."""
 
     folder: Path
     router: str
@@ -32,8 +32,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PieceResult:
-    """What came of a piece; ``difference`` is the number of the first call decided otherwise, or of a state not
-    reached."""
+    """The result of a piece; ``difference`` is the number of the first call with other actions, or of a snapshot that
+    was not reached."""
 
     piece: Piece
     calls: int = 0
@@ -44,10 +44,11 @@
 
 
 def split_into_pieces(folder: Path, jobs: int) -> list[Piece]:
-    """All routers' pieces, each about a ``jobs``-th of its router's history.  Raises CaptureError without a store."""
+    """The pieces of all routers, each about ``1 / jobs`` of its router's history.  Raises CaptureError if the folder
+    has no store."""
     store = Store.open_existing(folder)
     if store is None:
-        raise CaptureError(f"{folder}: no states to cut at; `stonetrack capture tend {folder}` makes them")
+        raise CaptureError(f"{folder}: no states to split at; `stonetrack capture tend {folder}` stores them")
     found: list[Piece] = []
     with store:
         for name in history.segments_by_router(folder):
@@ -62,19 +63,19 @@
 def replay_piece(piece: Piece) -> PieceResult:
     """Replay one piece in this process."""
     with Store(piece.folder) as store:
-        begun = store.state_before(piece.router, piece.first) if piece.first else None
-        ends = store.state_before(piece.router, piece.end) if piece.end is not None else None
+        start_state = store.state_before(piece.router, piece.first) if piece.first else None
+        end_state = store.state_before(piece.router, piece.end) if piece.end is not None else None
     reading = HistoryReader(history.segments_by_router(piece.folder)[piece.router])
 
     def records() -> Iterator[tuple[int, Record]]:
-        if begun is not None:
-            yield begun.number, State(begun.at, begun.version, begun.data)
+        if start_state is not None:
+            yield start_state.number, State(start_state.at, start_state.version, start_state.data)
         yield from ((n, r) for n, r in reading.records(piece.first, piece.end) if piece.end is None or n < piece.end)
 
     result = replay_numbered(records())
     difference = result.difference.number if result.difference is not None else None
-    if difference is None and ends is not None and result.router is not None:
-        same = ends.number == piece.end and snapshot.take(result.router) == ends.data
+    if difference is None and end_state is not None and result.router is not None:
+        same = end_state.number == piece.end and snapshot.take(result.router) == end_state.data
         difference = None if same else piece.end
     return PieceResult(piece, result.calls, result.skipped, result.missing, difference, tuple(reading.damage))
 
@@ -82,11 +83,11 @@
 def replay_folder(
     folder: Path, jobs: int, on_progress: Callable[[int, int], None] = lambda done, of: None
 ) -> list[PieceResult]:
-    """Replay all pieces by so many processes; outcomes in order.  ``on_progress``: pieces done, of all."""
-    wanted = split_into_pieces(folder, jobs)
-    done: list[PieceResult] = []
+    """Replay all pieces with ``jobs`` processes; results in order.  ``on_progress``: pieces done, of all."""
+    pieces = split_into_pieces(folder, jobs)
+    results: list[PieceResult] = []
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        for future in as_completed([pool.submit(replay_piece, piece) for piece in wanted]):
-            done.append(future.result())
-            on_progress(len(done), len(wanted))
-    return sorted(done, key=lambda outcome: (outcome.piece.router, outcome.piece.first))
+        for future in as_completed([pool.submit(replay_piece, piece) for piece in pieces]):
+            results.append(future.result())
+            on_progress(len(results), len(pieces))
+    return sorted(results, key=lambda outcome: (outcome.piece.router, outcome.piece.first))
--- a/stonetrack/capture/redact.py
+++ b/stonetrack/capture/redact.py
@@ -1,14 +1,15 @@
-"""Captures without names, and as text.  Pure.
-
-A node's captures hold no text of prompts or answers, no keys, and sessions and shared beginnings as keyed hashes
-already (``hash_key`` in the settings).  What is left that may tell something of an installation: names of classes,
-tenants and engines, and who asked when.
-
-- :func:`redact` takes out what the router never computes with: names of classes, tenants and the instance.  Decisions
-  are the same, and a replay proves it.
-- :func:`rename` also gives sessions, beginnings, requests and servers new names by another key, for captures that leave
-  the house.  The router breaks ties by hashes of those names, so some decisions would be others; they are decided
-  anew, and the caller is told how many differ.  Such a history is told as it happened, not as it would have.
+"""Removes names from captures, and exports records as JSON.  No I/O.
+
+A node's captures contain no text of prompts or answers and no API keys, and sessions and shared prefixes only as keyed
+hashes (``hash_key`` in the settings).  What may still identify an installation: names of classes, tenants and engines,
+and the time and source of each request.
+
+- :func:`redact` replaces names that do not affect decisions: those of classes, tenants and the instance.  Decisions are
+  the same, and a replay verifies it.
+- :func:`rename` also replaces sessions, shared prefixes, requests and servers by hashes under another key, for captures
+  that are given to third parties.  The router breaks ties by hashes of those names, so some decisions differ; they are
+  made again under the new names, and the caller learns how many differ.  Such a history records the events as they
+  happened, not the ones that the changed decisions would have caused.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 def keyed_name(key: bytes, kind: str, name: str) -> str:
-    """A name's stand-in: 16 hexadecimal digits after a letter for its kind."""
+    """A pseudonym for a name: a letter for its kind and 16 hexadecimal digits."""
     if not name:
         return name
     digest = hashlib.blake2b(f"{kind}/{name}".encode("utf-8", "surrogatepass"), key=key[:64], digest_size=8)
@@ -46,21 +47,21 @@
 
 
 def redact(records: Iterable[Record], key: bytes) -> Iterator[Record]:
-    """Take out the names that decide nothing.  A state holds class names too: they are replaced within it."""
+    """Replace the names that do not affect decisions.  A snapshot contains class names too; they are replaced in it."""
     for record in records:
         if isinstance(record, Header):
             settings = redact_settings(record.settings, key)
             yield Header(record.version, keyed_name(key, "i", record.instance), record.seed, settings)
         elif isinstance(record, State):
-            yield State(record.at, record.version, _state(record.data, key))
+            yield State(record.at, record.version, _redact_state(record.data, key))
         else:
             yield record
 
 
-def _state(data: bytes, key: bytes) -> bytes:
-    form, settings, pools, state = msgspec.msgpack.decode(data)
+def _redact_state(data: bytes, key: bytes) -> bytes:
+    format_, settings, pools, state = msgspec.msgpack.decode(data)
     names = {c["name"]: keyed_name(key, "c", c["name"]) for c in settings["classes"]}
-    plain = msgspec.to_builtins(redact_settings(msgspec.convert(settings, api.Settings), key))
+    plain_settings = msgspec.to_builtins(redact_settings(msgspec.convert(settings, api.Settings), key))
 
     def walk(value: Any) -> Any:
         if isinstance(value, list):
@@ -69,33 +70,35 @@
             return [walk(each) for each in value]
         return value
 
-    return msgspec.msgpack.encode([form, plain, pools, {name: walk(value) for name, value in state.items()}])
+    return msgspec.msgpack.encode(
+        [format_, plain_settings, pools, {name: walk(value) for name, value in state.items()}]
+    )
 
 
 @dataclass
 class RenameResult:
-    """What renaming came to."""
+    """Counts of a renaming."""
 
     calls: int = 0
-    changed_decisions: int = 0  # decided otherwise under the new names
+    changed_decisions: int = 0  # calls with other actions under the new names
     omitted_records: int = 0  # snapshots, and calls after a gap, which can't be renamed
 
 
-def _rename(thing: Any, key: bytes) -> Any:
+def _rename_message(message: Any, key: bytes) -> Any:
     changes: dict[str, Any] = {}
-    for field in dataclasses.fields(thing):
-        value = getattr(thing, field.name)
+    for field in dataclasses.fields(message):
+        value = getattr(message, field.name)
         if field.name in NAME_PREFIXES and isinstance(value, str):
             changes[field.name] = keyed_name(key, NAME_PREFIXES[field.name], value)
         elif field.name == "entries":
-            changes[field.name] = tuple(_rename(each, key) for each in value)
-        elif isinstance(thing, api.Log):
+            changes[field.name] = tuple(_rename_message(each, key) for each in value)
+        elif isinstance(message, api.Log):
             changes[field.name] = ""
-    return dataclasses.replace(thing, **changes)
+    return dataclasses.replace(message, **changes)
 
 
 def rename(records: Iterable[Record], key: bytes, result: RenameResult) -> Iterator[Record]:
-    """Give everything new names and decide anew; see the module."""
+    """Replace all names and decide again under the new names; the module's docstring gives the reason."""
     router: Router | None = None
     for record in redact(records, key):
         if isinstance(record, Header):
@@ -109,10 +112,10 @@
         elif router is None:
             result.omitted_records += 1
         else:
-            event = _rename(record.event, key)
+            event = _rename_message(record.event, key)
             actions = tuple(router.handle(record.at, event))
             result.calls += 1
-            result.changed_decisions += actions != tuple(_rename(a, key) for a in record.actions)
+            result.changed_decisions += actions != tuple(_rename_message(a, key) for a in record.actions)
             yield Call(record.at, event, actions)
 
 
@@ -120,7 +123,7 @@
     """A record as one line of JSON."""
     match record:
         case Header(version, instance, seed, settings):
-            shown: dict[str, Any] = {
+            fields: dict[str, Any] = {
                 "header": {
                     "version": version,
                     "instance": instance,
@@ -129,12 +132,12 @@
                 }
             }
         case Call(at, event, actions):
-            shown = {
+            fields = {
                 "at": at, "event": {"type": type(event).__name__, **msgspec.to_builtins(event)},
                 "actions": [{"type": type(a).__name__, **msgspec.to_builtins(a)} for a in actions],
             }  # fmt: skip
         case Gap(at, count):
-            shown = {"at": at, "missing": count}
+            fields = {"at": at, "missing": count}
         case State(at, version, data):
-            shown = {"at": at, "state": {"version": version, "bytes": len(data)}}
-    return msgspec.json.encode({"number": number, **shown})
+            fields = {"at": at, "state": {"version": version, "bytes": len(data)}}
+    return msgspec.json.encode({"number": number, **fields})
--- a/stonetrack/capture/replay.py
+++ b/stonetrack/capture/replay.py
@@ -1,4 +1,4 @@
-"""Feeds captured calls to a fresh router and compares what it decides."""
+"""Feeds captured calls to a new router and compares the actions that it returns."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """The first call that was decided otherwise."""
+    """The first call for which the router returned other actions."""
 
     number: int
     call: Call
@@ -26,26 +26,26 @@
 
 @dataclass
 class ReplayResult:
-    """What came of a replay."""
+    """The result of a replay."""
 
     calls: int = 0
     routers: int = 0
-    states: int = 0  # snapshots that replay went on from
-    skipped: int = 0  # calls after a gap, or before any header
-    missing: int = 0  # calls that the capture itself says it lacks
+    states: int = 0  # snapshots from which replay resumed
+    skipped: int = 0  # calls after a gap, or before the first header
+    missing: int = 0  # calls that the capture's gaps count as missing
     difference: Difference | None = None
     damage: list[str] = field(default_factory=list)
-    router: Any = None  # as it was left; None after a gap
+    router: Any = None  # after the last call; None after a gap
 
     @property
     def matches(self) -> bool:
-        """Whether every call that could be replayed was decided as before."""
+        """Whether every replayed call returned the captured actions."""
         return self.difference is None
 
 
-def replay(records: Iterable[Record], make: Make = Router, **more: Any) -> ReplayResult:
-    """:func:`replay_numbered`, for records that are numbered from 0."""
-    return replay_numbered(enumerate(records), make, **more)
+def replay(records: Iterable[Record], make: Make = Router, **options: Any) -> ReplayResult:
+    """Replay records that are numbered from 0; the options are those of :func:`replay_numbered`."""
+    return replay_numbered(enumerate(records), make, **options)
 
 
 def replay_numbered(
@@ -57,10 +57,10 @@
     on_call: Callable[[int, Call, Any], None] | None = None,
     restore_class: type | None = None,
 ) -> ReplayResult:
-    """Replay to the first difference (in the calls about ``request``, if given), or to a time.
+    """Replay up to the first difference (in the calls about ``request``, if given), or up to a time.
 
-    ``on_call`` sees each call, with its record's number, and the router after it; ``restore_class`` is what a snapshot
-    is made into.
+    ``on_call`` receives each call, with its record's number, and the router after it; ``restore_class`` is the class of
+    routers restored from snapshots.
     """
     result = ReplayResult()
     router: Any = None
@@ -79,26 +79,27 @@
         else:
             if until is not None and record.at > until:
                 return result
-            now = tuple(router.handle(record.at, record.event))
+            replayed_actions = tuple(router.handle(record.at, record.event))
             result.calls += 1
             if on_call is not None:
                 on_call(number, record, router)
-            mine = not request or codec.request_of(record.event) == request
-            if mine and now != record.actions:
-                result.difference = Difference(number, record, now)
+            compared = not request or codec.request_of(record.event) == request
+            if compared and replayed_actions != record.actions:
+                result.difference = Difference(number, record, replayed_actions)
                 return result
     return result
 
 
 def reasons_at(records: Iterable[tuple[int, Record]], number: int) -> list[str]:
-    """The reasons of this module at one call, as lines: all candidates with their scores, the captured choice too."""
+    """The reasons of this module's decision at one call, as lines: all candidates with their scores, and the captured
+    choice."""
     cls, reasons = traced(Router)
     found: list[str] = []
 
-    def look(at: int, call: Call, router: Any) -> None:
+    def collect_reasons(at: int, call: Call, router: Any) -> None:
         if at == number:
             found.extend(lines(reasons))
         reasons.clear()
 
-    replay_numbered(((n, r) for n, r in records if n <= number), cls, on_call=look, restore_class=cls)
+    replay_numbered(((n, r) for n, r in records if n <= number), cls, on_call=collect_reasons, restore_class=cls)
     return found
--- a/stonetrack/capture/retention.py
+++ b/stonetrack/capture/retention.py
@@ -1,8 +1,8 @@
-"""Which segments go when a folder of captures is over its budget on disk.  Pure.
+"""Chooses the segments to delete when a folder of captures exceeds its disk budget.  No I/O.
 
-Rules, in this order: what is being written stays; what is kept by hand stays, however large; the oldest of the rest
-go first, across all routers, until the folder is within its budget.  A router's last segment goes like any other:
-what it was told is then lost, and said by the gap in its numbers.
+Rules: segments being written and segments marked as kept are never deleted, however large; the oldest of the others are
+deleted first, across all routers, until the folder is within its budget.  A router's last segment is deleted like any
+other; the gap in the record numbers then shows that its calls are missing.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentFile:
-    """One segment on disk; ``began`` is the clock of its name."""
+    """One segment on disk; ``started_at`` is the clock in its name."""
 
     name: str
     bytes: int
-    began: int
+    started_at: int
     kept: bool = False
     open: bool = False
 
 
-def segments_to_delete(segments: Iterable[SegmentFile], budget: int) -> list[str]:
-    """Names to delete, oldest first; fewer than would reach the budget where the rest may not go."""
-    found = sorted(segments, key=lambda s: (s.began, s.name))
-    total = sum(s.bytes for s in found)
-    gone: list[str] = []
-    for each in found:
-        if total <= budget:
+def segments_to_delete(segments: Iterable[SegmentFile], budget_bytes: int) -> list[str]:
+    """Names to delete, oldest first; the total may stay above the budget when the remaining segments must be kept."""
+    oldest_first = sorted(segments, key=lambda file: (file.started_at, file.name))
+    total = sum(file.bytes for file in oldest_first)
+    deleted: list[str] = []
+    for file in oldest_first:
+        if total <= budget_bytes:
             break
-        if not each.kept and not each.open:
-            total -= each.bytes
-            gone.append(each.name)
-    return gone
+        if not file.kept and not file.open:
+            total -= file.bytes
+            deleted.append(file.name)
+    return deleted
--- a/stonetrack/capture/seek.py
+++ b/stonetrack/capture/seek.py
@@ -1,8 +1,7 @@
-"""Finding the middle of a long history: by time or by request, from the nearest state.
+"""Finds a position in a long history by time or by request, starting from the nearest stored snapshot.
 
-With a store, the index says in which block to look and the last snapshot before it where to begin; without one, or
-where it is of other files, everything is read from the start.  The answer is the same either way, only slower (a
-test holds both to each other).
+With a store, the index names the block to read and the last snapshot before it the place to start.  Without one, or for
+files that changed, all records are read from the start.  The result is the same, only slower (a test compares the two).
 """
 
 from __future__ import annotations
@@ -16,11 +15,11 @@
 from stonetrack.capture.index import Index, IndexBuilder
 from stonetrack.capture.store import Store
 
-Numbered = Iterator[tuple[int, Record]]
+NumberedRecords = Iterator[tuple[int, Record]]
 
 
 def index_file(path: Path) -> tuple[Index, segment.Damage | None]:
-    """Make a segment's index from the file itself; what is wrong with it beside."""
+    """Build a segment's index from the file; also returns the first damage."""
     status = path.stat()
     data = path.read_bytes()
     blocks, damage = segment.scan_blocks(data)
@@ -37,8 +36,8 @@
     return [store.index_of(file) or index_file(file)[0] for file in files]
 
 
-def _from_state(reading: HistoryReader, store: Store, number: int, clock: int | None = None) -> Numbered:
-    """The records from the last state at or before a number (and a time) on, that state first."""
+def _from_state(reading: HistoryReader, store: Store, number: int, clock: int | None = None) -> NumberedRecords:
+    """The records from the last snapshot at or before a number (and a time) on, beginning with that snapshot."""
     state = store.state_before(_router(reading), number)
     while state is not None and clock is not None and state.at > clock:
         state = store.state_before(_router(reading), state.number - 1)
@@ -54,36 +53,38 @@
     return router_name(reading.files[0])
 
 
-def _with_store(folder: Path, do: Callable[[Store], Numbered], without: Callable[[], Numbered]) -> Numbered:
+def _with_store(
+    folder: Path, read_indexed: Callable[[Store], NumberedRecords], read_all: Callable[[], NumberedRecords]
+) -> NumberedRecords:
     store = Store.open_existing(folder) if folder.is_dir() else None
     if store is None:
-        yield from without()
+        yield from read_all()
         return
     with store:
-        yield from do(store)
+        yield from read_indexed(store)
 
 
-def since(folder: Path, reading: HistoryReader, clock: int) -> Numbered:
-    """The records from the last state before a time on."""
+def since(folder: Path, reading: HistoryReader, clock: int) -> NumberedRecords:
+    """The records from the last snapshot before a time on."""
 
-    def do(store: Store) -> Numbered:
+    def read_indexed(store: Store) -> NumberedRecords:
         end = 0
-        for made in _indexes(store, reading.files):
-            if len(made.began) and int(made.began[0]) <= clock:
-                end = max(end, made.end_at(clock))
+        for index in _indexes(store, reading.files):
+            if len(index.began) and int(index.began[0]) <= clock:
+                end = max(end, index.end_at(clock))
         return _from_state(reading, store, end, clock)
 
-    return _with_store(folder, do, reading.records)
+    return _with_store(folder, read_indexed, reading.records)
 
 
-def about(folder: Path, reading: HistoryReader, request: str, whole: bool = False) -> Numbered:
-    """The records of the blocks that name a request; ``whole``: all from the state before the first to the last of
-    them, so that they can be replayed."""
+def about(folder: Path, reading: HistoryReader, request: str, whole: bool = False) -> NumberedRecords:
+    """The records of the blocks that name a request.  ``whole``: all records from the snapshot before the first of
+    these blocks to the end of the last, so that they can be replayed."""
 
-    def do(store: Store) -> Numbered:
-        made = _indexes(store, reading.files)
-        ends = {int(f): int(f) + int(n) for each in made for f, n in zip(each.first, each.records, strict=True)}
-        blocks = sorted({number for each in made for number in each.blocks_of_request(request)})
+    def read_indexed(store: Store) -> NumberedRecords:
+        indexes = _indexes(store, reading.files)
+        ends = {int(f): int(f) + int(n) for each in indexes for f, n in zip(each.first, each.records, strict=True)}
+        blocks = sorted({number for each in indexes for number in each.blocks_of_request(request)})
         if not blocks:
             return
         if whole:
@@ -96,4 +97,4 @@
             for number, record in reading.records(first, ends[first]):
                 yield number, record
 
-    return _with_store(folder, do, reading.records)
+    return _with_store(folder, read_indexed, reading.records)
--- a/stonetrack/capture/segment.py
+++ b/stonetrack/capture/segment.py
@@ -1,10 +1,10 @@
 """The file format of captures, without I/O.
 
-A segment is ``MAGIC`` and blocks.  A block is a head of 32 bytes and a body.  The head, all little-endian: length of
-the body (4 bytes), length unpacked (4), records (4), number of the first record (8), xxh64 of head and body (8), zeros
-(4).  The body is zstandard over records, each with its length before it (4 bytes).  The checksum covers the head's
-fields too, so that a flipped bit anywhere is found.  A block is what is made durable at once: a kill within one leaves
-a tail that :func:`scan_blocks` cuts off and tells.
+A segment is ``MAGIC`` and blocks.  A block is a header of 32 bytes and a body.  The header, little-endian: length of
+the body (4 bytes), uncompressed length (4), number of records (4), number of the first record (8), xxh64 of header and
+body (8), zeros (4).  The body is the zstandard-compressed records, each preceded by its length (4 bytes).  The checksum
+covers the header's fields too, so a flipped bit in any of them is detected.  A block is the unit of durability: a
+process killed while writing one leaves a torn tail, which :func:`scan_blocks` cuts off and reports.
 """
 
 from __future__ import annotations
@@ -20,42 +20,42 @@
 
 MAGIC = b"stonecap\x01\n"
 _HEAD = struct.Struct("<IIIQ")
-_SUM = struct.Struct("<Q")
-HEAD_BYTES = _HEAD.size + _SUM.size + 4
-MAX_BLOCK_BYTES = 64 << 20  # bytes of a block unpacked
+_CHECKSUM = struct.Struct("<Q")
+HEAD_BYTES = _HEAD.size + _CHECKSUM.size + 4
+MAX_BLOCK_BYTES = 64 << 20  # uncompressed
 
 
 @dataclass(frozen=True, slots=True)
 class Block:
-    """Where a block stands and what it holds."""
+    """The position of a block and its records."""
 
     offset: int
-    size: int  # with its head
+    size: int  # bytes, including the block's header
     first: int  # number of its first record
     records: int
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """What is wrong, and from which offset on."""
+    """A defect of a segment and the offset at which it begins."""
 
     offset: int
     text: str
-    torn: bool = False  # the tail that a kill leaves
+    torn: bool = False  # an incomplete write at the end, left by a killed process
 
 
 def encode_block(records: Iterable[bytes], first: int, level: int = 3) -> bytes:
-    """One block."""
+    """Encode one block."""
     parts = []
     count = 0
     for record in records:
         parts.append(len(record).to_bytes(4, "little"))
         parts.append(record)
         count += 1
-    raw = b"".join(parts)
-    body = zstandard.ZstdCompressor(level=level).compress(raw)
-    head = _HEAD.pack(len(body), len(raw), count, first)
-    return head + _SUM.pack(_checksum(head, body)) + bytes(4) + body
+    unpacked = b"".join(parts)
+    body = zstandard.ZstdCompressor(level=level).compress(unpacked)
+    head = _HEAD.pack(len(body), len(unpacked), count, first)
+    return head + _CHECKSUM.pack(_checksum(head, body)) + bytes(4) + body
 
 
 def _checksum(head: bytes, body: bytes) -> int:
@@ -63,44 +63,44 @@
 
 
 def scan_blocks(data: bytes | memoryview) -> tuple[list[Block], Damage | None]:
-    """The blocks that are whole, and the first damage.  Reading goes on after a damaged block where its head can be
-    trusted to say where the next begins; a torn tail ends it."""
+    """The intact blocks, and the first damage.  Scanning continues after a damaged block if its header is plausible
+    enough to find the next one; it stops at a torn tail."""
     if len(data) < len(MAGIC) and MAGIC.startswith(bytes(data)):
-        return [], Damage(0, f"torn: {len(data)} of {len(MAGIC)} bytes of the file's beginning", True)
+        return [], Damage(0, f"torn: {len(data)} of {len(MAGIC)} bytes of the file's magic number", True)
     if bytes(data[: len(MAGIC)]) != MAGIC:
         return [], Damage(0, f"not a capture of this version (it begins with {bytes(data[:10])!r})")
     blocks: list[Block] = []
     damage: Damage | None = None
-    at = len(MAGIC)
-    while at < len(data):
-        left = len(data) - at
-        if left < HEAD_BYTES:
-            return blocks, damage or Damage(at, f"torn: {left} bytes of a block's head", True)
-        head = bytes(data[at : at + _HEAD.size])
-        size, raw, count, first = _HEAD.unpack(head)
-        whole = HEAD_BYTES + size
-        if size > MAX_BLOCK_BYTES or raw > MAX_BLOCK_BYTES or left < whole:
-            return blocks, damage or Damage(at, f"torn: {left} of {whole} bytes of a block", True)
-        (told,) = _SUM.unpack_from(data, at + _HEAD.size)
-        if _checksum(head, bytes(data[at + HEAD_BYTES : at + whole])) == told:
-            blocks.append(Block(at, whole, first, count))
+    offset = len(MAGIC)
+    while offset < len(data):
+        remaining = len(data) - offset
+        if remaining < HEAD_BYTES:
+            return blocks, damage or Damage(offset, f"torn: {remaining} bytes of a block's header", True)
+        head = bytes(data[offset : offset + _HEAD.size])
+        size, unpacked, count, first = _HEAD.unpack(head)
+        block_bytes = HEAD_BYTES + size
+        if size > MAX_BLOCK_BYTES or unpacked > MAX_BLOCK_BYTES or remaining < block_bytes:
+            return blocks, damage or Damage(offset, f"torn: {remaining} of {block_bytes} bytes of a block", True)
+        (stored_checksum,) = _CHECKSUM.unpack_from(data, offset + _HEAD.size)
+        if _checksum(head, bytes(data[offset + HEAD_BYTES : offset + block_bytes])) == stored_checksum:
+            blocks.append(Block(offset, block_bytes, first, count))
         else:
-            damage = damage or Damage(at, "a block's checksum is wrong")
-        at += whole
+            damage = damage or Damage(offset, "a block's checksum is wrong")
+        offset += block_bytes
     return blocks, damage
 
 
 def decode_block(data: bytes | memoryview, block: Block) -> Iterator[bytes]:
-    """A block's records.  Raises CaptureError."""
+    """Yield a block's records.  Raises CaptureError."""
     body = bytes(data[block.offset + HEAD_BYTES : block.offset + block.size])
     try:
-        raw = zstandard.ZstdDecompressor().decompress(body, max_output_size=MAX_BLOCK_BYTES)
+        unpacked = zstandard.ZstdDecompressor().decompress(body, max_output_size=MAX_BLOCK_BYTES)
     except zstandard.ZstdError as error:
         raise CaptureError(f"offset {block.offset}: {error}") from None
-    at = 0
+    offset = 0
     for _ in range(block.records):
-        size = int.from_bytes(raw[at : at + 4], "little")
-        if at + 4 + size > len(raw):
+        size = int.from_bytes(unpacked[offset : offset + 4], "little")
+        if offset + 4 + size > len(unpacked):
             raise CaptureError(f"offset {block.offset}: a record is cut short")
-        yield raw[at + 4 : at + 4 + size]
-        at += 4 + size
+        yield unpacked[offset + 4 : offset + 4 + size]
+        offset += 4 + size
--- a/stonetrack/capture/store.py
+++ b/stonetrack/capture/store.py
@@ -1,11 +1,12 @@
-"""What is known about a folder of captures, in LMDB beside the segments: index, snapshots, marks, notes, cases.
+"""Metadata of a folder of captures, in LMDB beside the segments: indexes, snapshots, marks, notes, cases.
 
-Segments are the truth; indexes and snapshots can be made again from them, marks and notes can't.  So every change is
-one transaction, made durable before it is told (LMDB's own promise: after a kill the last whole one is there), and
-whatever the store says of a segment is compared with the file's size and time of change before it is used.
+Segments are authoritative; indexes and snapshots can be rebuilt from them, marks and notes cannot.  So every change is
+one transaction, durable before the call returns (LMDB guarantees that the last complete transaction survives a kill),
+and an index is used only if the size and modification time of its segment still match.
 
-Several processes may have it open: instances look marks up before they delete, one tender writes.  Keys are text; a
-router's snapshots are ``ROUTER/NUMBER`` with the number in 20 digits, so that they stand in order.
+Several processes may have the store open: instances read the marks before they delete, one maintenance process writes.
+Keys are text; a router's snapshots have the keys ``ROUTER/NUMBER`` with the number in 20 digits, so that they sort by
+number.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 
 from stonetrack.capture.codec import CaptureError
 
-if TYPE_CHECKING:  # numpy is a quarter of a second that an instance, which only asks for marks, need not pay
+if TYPE_CHECKING:  # importing numpy takes 0.25 s, and an instance only reads marks
     from stonetrack.capture.index import Index
 
 STORE_DIRECTORY = "store"
-MAX_MAP_BYTES = 16 << 30  # bytes of address space; the file grows as needed
+MAX_MAP_BYTES = 16 << 30  # address space; the file grows as needed
 _TABLES = (b"segments", b"states", b"marks", b"notes", b"cases", b"jobs")
 
 
 @dataclass(frozen=True, slots=True)
 class SavedState:
-    """A router's state kept for seeking: what it held before record ``number``."""
+    """A stored snapshot of a router, used for seeking: its state before record ``number``."""
 
     router: str
     number: int
@@ -41,14 +42,14 @@
     data: bytes
 
 
-class _Shared:
-    """LMDB may be opened once in a process: those who have the same folder open share one environment."""
+class _EnvironmentPool:
+    """LMDB may be opened only once in a process: all stores of the same folder share one environment."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._open: dict[Path, tuple[Any, int]] = {}
 
-    def take(self, path: Path, map_bytes: int) -> Any:
+    def acquire(self, path: Path, map_bytes: int) -> Any:
         with self._lock:
             env, users = self._open.get(path, (None, 0))
             if env is None:
@@ -56,7 +57,7 @@
             self._open[path] = env, users + 1
             return env
 
-    def give(self, path: Path) -> None:
+    def release(self, path: Path) -> None:
         with self._lock:
             env, users = self._open.pop(path)
             if users > 1:
@@ -65,18 +66,18 @@
                 env.close()
 
 
-_SHARED = _Shared()
+_ENVIRONMENTS = _EnvironmentPool()
 
 
 class Store:
-    """A folder's store.  Raises CaptureError where it can't be opened or written."""
+    """A folder's store.  Raises CaptureError if it can't be opened or written."""
 
     def __init__(self, folder: Path, *, map_bytes: int = MAX_MAP_BYTES) -> None:
         self.path = folder.resolve() / STORE_DIRECTORY
         self._closed = True
         try:
             folder.mkdir(parents=True, exist_ok=True)
-            self._env = _SHARED.take(self.path, map_bytes)
+            self._env = _ENVIRONMENTS.acquire(self.path, map_bytes)
             self._closed = False
             self._table = {name: self._env.open_db(name) for name in _TABLES}
         except (lmdb.Error, OSError) as error:
@@ -85,15 +86,15 @@
 
     @classmethod
     def open_existing(cls, folder: Path) -> Store | None:
-        """The store of a folder that has one.  Raises CaptureError where it can't be opened: who is to delete must
-        not take that for no marks."""
+        """The store of a folder, or None if it has none.  Raises CaptureError if it can't be opened: a caller that is
+        about to delete segments must not mistake that for a store without marks."""
         return cls(folder) if (folder / STORE_DIRECTORY / "data.mdb").exists() else None
 
     def close(self) -> None:
-        """Let go of it."""
+        """Close the store; its environment is closed with its last user."""
         if not self._closed:
             self._closed = True
-            _SHARED.give(self.path)
+            _ENVIRONMENTS.release(self.path)
 
     def __enter__(self) -> Store:
         return self
@@ -102,7 +103,7 @@
         self.close()
 
     def _put(self, changes: list[tuple[bytes, str, bytes | None]]) -> None:
-        """Make changes durable, all or none; None takes a key out."""
+        """Apply changes durably, all or none; the value None deletes a key."""
         try:
             with self._env.begin(write=True) as transaction:
                 for table, key, value in changes:
@@ -131,7 +132,7 @@
     # Indexes.
 
     def index_of(self, path: Path) -> Index | None:
-        """A segment's index, where it is of the file as it stands."""
+        """A segment's index, or None if the file has changed since."""
         from stonetrack.capture import index
 
         raw = self._get(b"segments", path.name)
@@ -142,26 +143,27 @@
         return found if (found.size, found.mtime_ns) == (status.st_size, status.st_mtime_ns) else None
 
     def put_index(self, name: str, made: Index) -> None:
-        """Keep a segment's index."""
+        """Store a segment's index."""
         self._put([(b"segments", name, made.to_bytes())])
 
     def delete_segments(self, names: list[str], router: str = "", before: int = 0) -> None:
-        """Segments are gone: their indexes, and the router's snapshots but the last before what is left."""
+        """Remove the indexes of deleted segments, and the router's snapshots except the last one before the remaining
+        records."""
         changes: list[tuple[bytes, str, bytes | None]] = [(b"segments", name, None) for name in names]
-        old = [s.number for s in self.states(router) if s.number <= before] if router else []
-        changes += [(b"states", f"{router}/{number:020d}", None) for number in old[:-1]]
+        old_numbers = [s.number for s in self.states(router) if s.number <= before] if router else []
+        changes += [(b"states", f"{router}/{number:020d}", None) for number in old_numbers[:-1]]
         self._put(changes)
 
     # Snapshots.
 
     def put_state(self, state: SavedState) -> None:
-        """Keep a router's state."""
+        """Store a router's snapshot."""
         data = zstandard.ZstdCompressor(level=3).compress(state.data)
         value = msgspec.msgpack.encode([state.at, state.version, data])
         self._put([(b"states", f"{state.router}/{state.number:020d}", value)])
 
     def states(self, router: str) -> Iterator[SavedState]:
-        """A router's states in order."""
+        """A router's snapshots in order."""
         for key, value in self._all(b"states", f"{router}/"):
             at, version, data = msgspec.msgpack.decode(value)
             yield SavedState(
@@ -169,7 +171,7 @@
             )
 
     def state_before(self, router: str, number: int) -> SavedState | None:
-        """The last state at or before a record."""
+        """The last snapshot at or before a record."""
         start = f"{router}/{number:020d}".encode()
         with self._env.begin() as transaction, transaction.cursor(db=self._table[b"states"]) as cursor:
             there = cursor.set_range(start)
@@ -188,13 +190,13 @@
         self._put([(b"marks", name, why.encode())])
 
     def unmark_kept(self, name: str) -> bool:
-        """Take a mark back; whether there was one."""
-        had = self._get(b"marks", name) is not None
+        """Remove a mark.  Returns whether there was one."""
+        was_marked = self._get(b"marks", name) is not None
         self._put([(b"marks", name, None)])
-        return had
+        return was_marked
 
     def kept_segments(self) -> dict[str, str]:
-        """Marked segments and why."""
+        """Marked segments and the reasons."""
         return {name: why.decode() for name, why in self._all(b"marks")}
 
     def add_note(self, at: int, about: str, text: str) -> None:
@@ -202,17 +204,17 @@
         self._put([(b"notes", f"{at:020d}/{about}"[:480], text.encode())])
 
     def notes(self) -> list[tuple[int, str, str]]:
-        """All notes: when, about what, text."""
+        """All notes as (time, subject, text)."""
         found = []
         for key, text in self._all(b"notes"):
             at, _, about = key.partition("/")
             found.append((int(at), about, text.decode()))
         return found
 
-    # Cases cut from this folder, and how far the tender has come.
+    # Cases cut from this folder, and the progress of maintenance.
 
     def put_case(self, name: str, facts: dict[str, Any]) -> None:
-        """Register a case that was cut."""
+        """Register a case that was cut from this folder."""
         self._put([(b"cases", name, msgspec.json.encode(facts))])
 
     def cases(self) -> dict[str, dict[str, Any]]:
@@ -220,10 +222,10 @@
         return {name: msgspec.json.decode(value) for name, value in self._all(b"cases")}
 
     def progress(self, router: str) -> dict[str, Any]:
-        """What the tender noted of a router."""
+        """The maintenance progress of a router."""
         raw = self._get(b"jobs", router)
         return msgspec.json.decode(raw) if raw else {}
 
     def put_progress(self, router: str, facts: dict[str, Any]) -> None:
-        """Note how far the tender has come with a router."""
+        """Store the maintenance progress of a router."""
         self._put([(b"jobs", router, msgspec.json.encode(facts))])
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -11,7 +11,7 @@
 
 from stonetrack.background.runner import Runner
 from stonetrack.background.scheduler import SECOND, Budget, Job, JobState, Scheduler, StepResult
-from stonetrack.background.timer_wheel import REACH, Timer, TimerWheel
+from stonetrack.background.timer_wheel import RANGE_TICKS, Timer, TimerWheel
 from tests.harness import wait_for
 
 MS = 1_000_000
@@ -54,9 +54,9 @@
 
 def test_a_timer_past_the_wheels_reach_is_neither_early_nor_lost() -> None:
     wheel: TimerWheel[str] = TimerWheel(0, 1)
-    wheel.add(REACH * 3 + 5, "far")
-    assert wheel.advance(REACH * 3 + 4) == []
-    assert wheel.advance(REACH * 3 + 5) == ["far"] and len(wheel) == 0
+    wheel.add(RANGE_TICKS * 3 + 5, "far")
+    assert wheel.advance(RANGE_TICKS * 3 + 4) == []
+    assert wheel.advance(RANGE_TICKS * 3 + 5) == ["far"] and len(wheel) == 0
     with pytest.raises(ValueError, match="tick: 0; allowed"):
         TimerWheel(0, 0)
 
@@ -168,7 +168,7 @@
     with pytest.raises(ValueError, match="budget 'x'; allowed: b"):
         plan.submit(0, job("three", budget="x"))
     plan.submit(0, job("three"))
-    with pytest.raises(ValueError, match="of this name"):
+    with pytest.raises(ValueError, match="another job of this name"):
         plan.submit(0, job("three"))
 
 
--- a/tests/test_tending.py
+++ b/tests/test_tending.py
@@ -110,7 +110,7 @@
     one = MaintenanceRunner(tmp_path, budget_bytes=1 << 40, log=print)
     one.run_once()
     two = MaintenanceRunner(tmp_path, budget_bytes=1 << 40, log=print)
-    with pytest.raises(CaptureError, match="somebody else"):
+    with pytest.raises(CaptureError, match="another process"):
         two.run_once()
     one.stop()
     two.run_once()
