--- a/stonetrack/capture/retention.py
+++ b/stonetrack/capture/retention.py
@@ -24,8 +24,8 @@
 
 def segments_to_delete(segments: Iterable[SegmentFile], budget_bytes: int) -> list[str]:
     """Names to delete, oldest first; the total may stay above the budget when the remaining segments must be kept."""
-    oldest_first = sorted(segments, key=lambda file: (file.started_at, file.name))
-    total = sum(file.bytes for file in oldest_first)
+    oldest_first = sorted(segments, key=lambda entry: (entry.started_at, entry.name))
+    total = sum(entry.bytes for entry in oldest_first)
     deleted: list[str] = []
     for file in oldest_first:
         if total <= budget_bytes:
