--- a/stonetrack/edge/engines.py
+++ b/stonetrack/edge/engines.py
@@ -86,7 +86,7 @@
         """See ``ports.Engines.start``."""
         engine = self._engines.get(server)
         if engine is None or not may_send(server):
-            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is draining or gone")
+            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is leaving or gone")
         try:
             # A pending release is retried while this connects: at an unreachable engine, connecting lasts for the whole
             # timeout, and nothing of the request has been sent meanwhile.
@@ -103,10 +103,10 @@
             return AttemptResult(outcome, f"engine {server}: {error}")
         if wait_result is ReleaseWaitResult.UNACKNOWLEDGED:
             close(sock)  # not returned to the pool: nothing was received on it, so it may be dead
-            return AttemptResult(api.Outcome.NOT_SENT, "an older release of the request is not acknowledged yet")
+            return AttemptResult(api.Outcome.NOT_SENT, "an older release of the request is not heard yet")
         if not may_send(server):  # a new list may have arrived while connecting
             reset(sock)
-            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is draining")
+            return AttemptResult(api.Outcome.NOT_SENT, f"engine {server} is leaving")
         if self._trace is not None:
             self._trace(f"trace conn {request.request_id} {attempt_number} {server} {age}")
         time_left = request.body.deadline - self._clock()
--- a/stonetrack/edge/exchange.py
+++ b/stonetrack/edge/exchange.py
@@ -109,7 +109,7 @@
                 data = b""
         except ProtocolError as error:
             self.reusable = False
-            self._end(Outcome.RESET, events, why=f"the engine's answer can't be parsed: {error}")
+            self._end(Outcome.RESET, events, why=f"the engine's answer can't be read: {error}")
         return events
 
     def eof(self) -> list[AttemptEvent]:
@@ -144,7 +144,7 @@
             if event.status < 200:
                 self._informational += 1
                 if self._informational > _MAX_INFORMATIONAL:
-                    raise ProtocolError(f"over {_MAX_INFORMATIONAL} informational answers")
+                    raise ProtocolError(f"over {_MAX_INFORMATIONAL} answers ahead of the answer")
                 return
             self._head = event
             self.reusable = event.keep_alive
@@ -190,7 +190,7 @@
         elif status == 410 and unprocessed:
             self._end(Outcome.FULL, events, why="the state to be fetched is gone", state_missing=True)
         elif status in (503, 504) and unprocessed:
-            self._end(Outcome.FULL, events, why=f"rejected as full ({status})")
+            self._end(Outcome.FULL, events, why=f"turned away ({status})")
         elif status in _INVALID_REQUEST:
             self._end(Outcome.SERVED, events, why=f"the engine answered {status}", rejection=(status, {}))
         else:
--- a/stonetrack/edge/requests.py
+++ b/stonetrack/edge/requests.py
@@ -92,7 +92,7 @@
 def _single_header(headers: Headers, name: str) -> str:
     found = headers.all(name)
     if len(found) > 1:
-        raise BadRequest(f"{name}: found {len(found)} times; allowed: once")
+        raise BadRequest(f"{name}: stands {len(found)} times; once is allowed")
     return found[0] if found else ""
 
 
--- a/stonetrack/edge/serve.py
+++ b/stonetrack/edge/serve.py
@@ -203,7 +203,7 @@
         if head.path != requests.CHAT_PATH or head.method != "POST":
             return sink.respond(404, f"allowed: POST {requests.CHAT_PATH}, GET /up, GET /metrics")
         if self._refuse_after and request.arrived > self._refuse_after:
-            return sink.respond(503, "this node is shutting down: try again elsewhere")
+            return sink.respond(503, "this node is leaving: try again elsewhere")
         try:
             waited_ns = time.monotonic_ns() - request.arrived
             parsed = requests.parse_request(head, request.body, self.classes, waited_ns, self.clock(), self.tenants)
@@ -213,7 +213,7 @@
             is_new = self._request_ids.add(parsed.request_id, self.clock())
         if not is_new:
             return sink.respond(
-                409, f"request {parsed.request_id}: this id was used before; each request needs its own"
+                409, f"request {parsed.request_id} has come before: every request needs an id of its own"
             )
         cls = self.config.settings.classes[parsed.class_index]
         self.records.open(parsed.request_id, f"{cls.name} ({cls.effect.value})", cls.effect, parsed.body.deadline)
--- a/stonetrack/engines/attempt.py
+++ b/stonetrack/engines/attempt.py
@@ -119,7 +119,7 @@
         if data:
             events = self._exchange.feed(data)
         elif self._unsent_bytes and not self._exchange.received:
-            return self._connection_lost("the engine closed before it received the whole request")
+            return self._connection_lost("the engine closed before it took the whole request")
         else:
             events = self._exchange.eof()
         if events and isinstance(events[-1], AttemptResult):
--- a/stonetrack/engines/protocol.py
+++ b/stonetrack/engines/protocol.py
@@ -137,7 +137,7 @@
             for event in self._reader.feed(data):
                 self._handle(event, events)
         except ProtocolError as error:
-            self._set_outcome(Outcome.ERROR, events, why=f"the engine's answer can't be parsed: {error}")
+            self._set_outcome(Outcome.ERROR, events, why=f"the engine's answer can't be read: {error}")
         return events
 
     def eof(self) -> list[AttemptEvent]:
@@ -178,7 +178,7 @@
                 return
             if self._head is not None:
                 self.reusable = False
-                raise ProtocolError("a second answer to one request")
+                raise ProtocolError("a second answer where one is due")
             self._head = event
             self.reusable = event.keep_alive
             content_type = event.headers.get("content-type").partition(";")[0].strip().lower()
@@ -214,7 +214,7 @@
         except (msgspec.DecodeError, RecursionError):
             raw = None
         if not isinstance(raw, dict):
-            self._set_outcome(Outcome.ERROR, events, why="an event of the engine's stream is not a JSON object")
+            self._set_outcome(Outcome.ERROR, events, why="an event of the engine's stream is no JSON object")
             return
         choices, usage = raw.get("choices"), raw.get("usage")
         if type(choices) is list and "error" not in raw and all(map(_is_object, choices)):
@@ -224,9 +224,7 @@
             extra = {k: raw[k] for k in _FORWARDED_FIELDS if k in raw} if len(raw) > 5 else {}
             events.append(Choices(choices, usage if type(usage) is dict else None, extra))
         elif "error" in raw:
-            self._set_outcome(
-                Outcome.ERROR, events, why=f"the engine's stream reported an error: {_error_message(raw)}"
-            )
+            self._set_outcome(Outcome.ERROR, events, why=f"the engine's stream told an error: {_error_message(raw)}")
         else:
             self._set_outcome(Outcome.ERROR, events, why="an event of the engine's stream has no list of choices")
 
@@ -243,13 +241,13 @@
         if head.status == 200:
             state = raw.get("kv_transfer_params")
             if not isinstance(state, dict):
-                self._set_outcome(Outcome.ERROR, events, why="the prefill engine returned no kv_transfer_params")
+                self._set_outcome(Outcome.ERROR, events, why="the reader returned no kv_transfer_params")
                 return
             self._set_outcome(Outcome.READ, events, state=state, kept_tokens=_cached_tokens(raw))
             return
         error = raw.get("error") if isinstance(raw.get("error"), dict) else {}
         if error and STATE_MISSING in (error.get("code"), error.get("type")):
-            self._set_outcome(Outcome.FULL, events, why="the KV state to be fetched is gone", state_missing=True)
+            self._set_outcome(Outcome.FULL, events, why="the state to be fetched is gone", state_missing=True)
         elif head.status in (429, 503):
             self._set_outcome(Outcome.FULL, events, why=f"the engine is full ({head.status})")
         elif head.status in _REQUEST_ERRORS:
--- a/stonetrack/node/request_lifecycle.py
+++ b/stonetrack/node/request_lifecycle.py
@@ -221,7 +221,7 @@
                 if self.stage is Stage.IN_FLIGHT and attempt_number == self.attempt_number:
                     return [
                         AbortAttempt(),
-                        *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "cancelled"), now),
+                        *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "called off"), now),
                     ]
                 return []
             case _:
@@ -271,9 +271,7 @@
                 return [
                     notify,
                     AbortAttempt(),
-                    *self.handle_attempt_event(
-                        ports.AttemptResult(api.Outcome.CANCELLED, "the client disconnected"), now
-                    ),
+                    *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "the client left"), now),
                 ]
             return [notify, StartAnswer()]
         return self._finish_attempt(event, now)
@@ -340,7 +338,7 @@
         if not self.next_deadline() or now < self.next_deadline():
             return []
         silent = self.stage is Stage.STREAMING and now >= self.silence_deadline
-        why = "the engine stopped sending in the middle of its answer" if silent else "timed out"
+        why = "the engine fell silent within its answer" if silent else "out of time"
         return [AbortAttempt(), *self.handle_attempt_event(ports.AttemptResult(api.Outcome.TIMED_OUT, why), now)]
 
     def handle_client_gone(self, now: int) -> list[SideEffect]:
@@ -353,7 +351,7 @@
         if self.stage is Stage.STREAMING:
             effects += [
                 AbortAttempt(),
-                *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "the client disconnected"), now),
+                *self.handle_attempt_event(ports.AttemptResult(api.Outcome.CANCELLED, "the client left"), now),
             ]
         elif self.stage is Stage.WAITING:
             self.stage = Stage.DONE
--- a/stonetrack/node/request_runner.py
+++ b/stonetrack/node/request_runner.py
@@ -140,7 +140,7 @@
             now = self.core.clock()
             self._apply(self.lifecycle.handle_client_gone(now))
             if self.lifecycle.stage is Stage.IN_FLIGHT:
-                self._abort_attempt(Outcome.CANCELLED, "internal error of this node", now)
+                self._abort_attempt(Outcome.CANCELLED, "this node could not go on with the request", now)
             self._run_actions()
 
     def _abort_attempt(self, outcome: Outcome, why: str, now: int) -> None:
@@ -221,7 +221,7 @@
         self._apply(self.lifecycle.handle_client_gone(now))
         if self.attempt is not None and self.attempt.has_unsent_data:
             # An attempt begins with its request's last byte: this one would begin without a client.
-            self._abort_attempt(Outcome.NOT_SENT, "the client disconnected", now)
+            self._abort_attempt(Outcome.NOT_SENT, "the client left", now)
 
     def _handle_engine_event(self, now: int) -> None:
         attempt = self.attempt
