--- a/stonetrack/bootstrap/stages.py
+++ b/stonetrack/bootstrap/readiness_stages.py
@@ -5,13 +5,13 @@
     NOTHING ──saved list──> SAVED ──document──> FRESH ──an engine of each role reached──> READY
        │                      │                  ^  │ (or nothing asked of engines)
        └──────document────────┼──────────────────┘  └──patience over──> READY where one was reached, else stays
-                              └──the settings allow──> READY on a saved list (``on_saved``)
+                              └──the settings allow──> READY on a saved list (``on_saved_list``)
     READY ──no engine of a role left──> FRESH ──one again──> ...
 
 - *NOTHING*: no engine is known.  Clients get 503 on readiness, so that whoever spreads them over nodes passes by.
 - *SAVED*: a list from before the restart is in force.  It may be old: engines may have gone and their addresses may
   belong to others.  It is served on only where the settings allow, and only if the service had confirmed it within
-  ``saved_for``; an older one is kept as what changes are asked on, and nothing is sent by it.
+  ``max_saved_age``; an older one is kept as what changes are asked on, and nothing is sent by it.
 - *FRESH*: the service has said what runs; whether this process reaches any of it is not known.  A few connections are
   tried, picked by the node's own seed so that a fleet spreads over all engines, and kept for the first requests.
 - *READY*: engines are known well enough, one of each role that a request needs was reached; told to clients.  It is not
@@ -31,27 +31,28 @@
 class Stage(Enum):
     """Where a process stands."""
 
-    NOTHING = "no list"
-    SAVED = "saved list"
-    FRESH = "list fresh"
+    NO_LIST = "no list"
+    SAVED_LIST = "saved list"
+    FRESH_LIST = "list fresh"
     READY = "ready"
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class ReadinessSettings:
     """What the settings allow; times in nanoseconds.
 
-    ``saved_for`` is how long after its last confirmation a saved list may be served on (0: never), ``reach`` how many
-    engines of each role are tried before the node says that it is ready (0: none), ``patience`` how long.
+    ``max_saved_age`` is how long after its last confirmation a saved list may be served on (0: never),
+    ``connections_per_role`` how many
+    engines of each role are tried before the node says that it is ready (0: none), ``max_connect_time`` how long.
     """
 
-    saved_for: int = 600 * SECOND
-    reach: int = 2
-    patience: int = 3 * SECOND
+    max_saved_age: int = 600 * SECOND
+    connections_per_role: int = 2
+    max_connect_time: int = 3 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
-class May:
+class Permissions:
     """What a stage allows."""
 
     serve: bool  # readiness
@@ -60,36 +61,36 @@
 
 
 _MAY = {
-    Stage.NOTHING: May(False, False, False),
-    Stage.SAVED: May(False, False, False),
-    Stage.FRESH: May(False, True, True),  # a client that comes all the same is served
-    Stage.READY: May(True, True, False),
+    Stage.NO_LIST: Permissions(False, False, False),
+    Stage.SAVED_LIST: Permissions(False, False, False),
+    Stage.FRESH_LIST: Permissions(False, True, True),  # a client that comes all the same is served
+    Stage.READY: Permissions(True, True, False),
 }
 
 
-class Starting:
+class StageMachine:
     """One process's stage.  ``roles`` are sets of roles of which one must be there each (reader and mixed, writer and
     mixed); engines are given by name and role."""
 
-    def __init__(self, rules: Rules, roles: tuple[frozenset[str], ...]) -> None:
+    def __init__(self, rules: ReadinessSettings, roles: tuple[frozenset[str], ...]) -> None:
         self._rules, self._roles = rules, roles
-        self.stage = Stage.NOTHING
-        self.on_saved = False  # READY by a saved list
+        self.stage = Stage.NO_LIST
+        self.on_saved_list = False  # READY by a saved list
         self._reached: set[str] = set()
         self.engines: dict[str, str] = {}
         self._fresh_at = 0
 
-    def may(self) -> May:
+    def permissions(self) -> Permissions:
         """What may be done now."""
         return _MAY[self.stage]
 
-    def why(self) -> str:
+    def not_ready_reason(self) -> str:
         """Why the node is not ready, in a few words; empty where it is."""
         if self.stage is Stage.READY:
             return ""
-        if self.stage is Stage.NOTHING:
+        if self.stage is Stage.NO_LIST:
             return "no server list yet"
-        if self.stage is Stage.SAVED:
+        if self.stage is Stage.SAVED_LIST:
             return "the saved list is too old, waiting for the list service"
         missing = self._missing(self.engines)
         if missing:
@@ -98,24 +99,24 @@
 
     # Events.
 
-    def saved(self, engines: dict[str, str], age: int, now: int) -> bool:
+    def restore_saved(self, engines: dict[str, str], age: int, now: int) -> bool:
         """A saved list was found, confirmed ``age`` ago; whether it may be acted on."""
-        usable = 0 <= age <= self._rules.saved_for and not self._missing(engines)
-        self.stage = Stage.READY if usable else Stage.SAVED
-        self.on_saved, self.engines = usable, engines if usable else {}
+        usable = 0 <= age <= self._rules.max_saved_age and not self._missing(engines)
+        self.stage = Stage.READY if usable else Stage.SAVED_LIST
+        self.on_saved_list, self.engines = usable, engines if usable else {}
         return usable
 
-    def document(self, engines: dict[str, str], now: int) -> None:
+    def confirm_list(self, engines: dict[str, str], now: int) -> None:
         """A document of the service is in force (or says that what is in force still holds)."""
-        self.on_saved, self.engines = False, engines
+        self.on_saved_list, self.engines = False, engines
         self._reached &= engines.keys()
         if self.stage is Stage.READY and not self._missing(engines):
             return
         self._fresh_at = now
-        self.stage = Stage.FRESH
+        self.stage = Stage.FRESH_LIST
         self._try(now)
 
-    def reached(self, engine: str, now: int) -> None:
+    def connected(self, engine: str, now: int) -> None:
         """A connection to an engine came about."""
         if engine in self.engines:
             self._reached.add(engine)
@@ -125,14 +126,16 @@
         """Time has passed."""
         self._try(now)
 
-    def targets(self, weights: Iterable[tuple[float, str]]) -> list[str]:
+    def connection_targets(self, weights: Iterable[tuple[float, str]]) -> list[str]:
         """Engines to connect to ahead, of each role the first few by the node's own numbers; none where not allowed."""
-        if not self.may().connect:
+        if not self.permissions().connect:
             return []
         picked: list[str] = []
         order = [name for _, name in sorted(weights)]
         for roles in self._roles:
-            picked += [n for n in order if self.engines.get(n) in roles and n not in picked][: self._rules.reach]
+            picked += [n for n in order if self.engines.get(n) in roles and n not in picked][
+                : self._rules.connections_per_role
+            ]
         return picked
 
     def _missing(self, engines: Iterable[str] | dict[str, str]) -> str:
@@ -143,8 +146,8 @@
         return ""
 
     def _try(self, now: int) -> None:
-        if self.stage is not Stage.FRESH or self._missing(self.engines):
+        if self.stage is not Stage.FRESH_LIST or self._missing(self.engines):
             return
-        over = now - self._fresh_at >= self._rules.patience
-        if not self._rules.reach or not self._missing(self._reached) or (over and self._reached):
+        over = now - self._fresh_at >= self._rules.max_connect_time
+        if not self._rules.connections_per_role or not self._missing(self._reached) or (over and self._reached):
             self.stage = Stage.READY
--- a/stonetrack/cli/audit.py
+++ b/stonetrack/cli/audit.py
@@ -12,7 +12,7 @@
 import click
 import msgspec
 
-from stonetrack.cli.serve import FILE, LOG, VAR, log_to, told_to_stop, variables
+from stonetrack.cli.serve import FILE, LOG, VAR, open_log, parse_variables, stop_on_signals
 
 if TYPE_CHECKING:
     from stonetrack.audit.account import Acting, Span
@@ -201,14 +201,14 @@
     from stonetrack.audit.store import Store
     from stonetrack.settings import SettingsError
 
-    stop = told_to_stop()
+    stop = stop_on_signals()
     try:
-        settings = load_collect(file, variables(var))
+        settings = load_collect(file, parse_variables(var))
         store = Store(Path(settings.store))
     except (SettingsError, lmdb.Error, OSError) as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(2)
-    log = log_to(log_path, settings.log_level)
+    log = open_log(log_path, settings.log_level)
     collector = Collector(settings, store, log.info)
     collector.start()
     click.echo("ready collecting")
--- a/stonetrack/cli/control.py
+++ b/stonetrack/cli/control.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from stonetrack.cli.serve import FILE, LOG, PORT, VAR, run_until_told, variables
+from stonetrack.cli.serve import FILE, LOG, PORT, VAR, parse_variables, run_service
 from stonetrack.settings import SettingsError, evaluate
 
 AT = click.argument("at", metavar="HOST:PORT")
@@ -30,7 +30,7 @@
     from stonetrack.control.service import KeepingError, run
     from stonetrack.control.settings import load_control
 
-    run_until_told(file, port, log_path, lambda: load_control(file, variables(var)), run, KeepingError)
+    run_service(file, port, log_path, lambda: load_control(file, parse_variables(var)), run, KeepingError)
 
 
 def _call(at: str, method: str, path: str, body: Any = None) -> Any:
@@ -53,7 +53,7 @@
 def publish(at: str, file: Path, var: tuple[str, ...], kind: str, share: float) -> None:
     """One more version: what FILE (Jsonnet) says replaces those parts of each node's own settings."""
     try:
-        content = msgspec.json.decode(evaluate(file, variables(var)))
+        content = msgspec.json.decode(evaluate(file, parse_variables(var)))
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
--- a/stonetrack/cli/controller.py
+++ b/stonetrack/cli/controller.py
@@ -12,7 +12,7 @@
 import click
 import msgspec
 
-from stonetrack.cli.serve import FILE, LOG, PORT, VAR, log_to, told_to_stop, variables
+from stonetrack.cli.serve import FILE, LOG, PORT, VAR, open_log, parse_variables, stop_on_signals
 
 if TYPE_CHECKING:
     from stonetrack.cas_store.ports import Register
@@ -47,7 +47,7 @@
     from stonetrack.controller.settings import load_steward
 
     with _plainly(file):
-        settings = load_steward(file, variables(var))
+        settings = load_steward(file, parse_variables(var))
         register = opened(settings)
         try:
             yield settings, register
@@ -65,10 +65,10 @@
     from stonetrack.controller.service import Port, Steward
     from stonetrack.frontend.host import listen
 
-    stop = told_to_stop()
+    stop = stop_on_signals()
     with _register(file, var) as (settings, register):
         listener = listen(settings.listen.host, settings.listen.port if port is None else port, settings.listen.backlog)
-        log = log_to(log_path, settings.log_level)
+        log = open_log(log_path, settings.log_level)
         running = Steward(settings, register, log.info)
         serving = Port(running, listener, log.info)
         serving.start()
--- a/stonetrack/cli/emulators.py
+++ b/stonetrack/cli/emulators.py
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from stonetrack.cli.serve import FILE, load_or_exit, run_supervisor, told_to_stop
+from stonetrack.cli.serve import FILE, load_or_exit, run_supervisor, stop_on_signals
 
 DEMO = Path(__file__).parent / "demo.jsonnet"
 
@@ -57,7 +57,7 @@
     from stonetrack.emulator.etcd import Gateway
     from stonetrack.frontend.host import listen
 
-    stop = told_to_stop()
+    stop = stop_on_signals()
     listener = listen("127.0.0.1", port, 128)
     gateway = Gateway(listener, lambda text: click.echo(text, err=True), state)
     gateway.start()
--- a/stonetrack/cli/fleet.py
+++ b/stonetrack/cli/fleet.py
@@ -7,7 +7,7 @@
 
 import click
 
-from stonetrack.cli.serve import FILE, VAR, variables
+from stonetrack.cli.serve import FILE, VAR, parse_variables
 
 
 @click.group()
@@ -35,7 +35,7 @@
     from stonetrack.settings import SettingsError
 
     try:
-        script = load_script(file, variables(var))
+        script = load_script(file, parse_variables(var))
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
--- a/stonetrack/cli/main.py
+++ b/stonetrack/cli/main.py
@@ -29,7 +29,7 @@
 }
 
 
-class Commands(click.Group):
+class LazyGroup(click.Group):
     """A group whose commands are imported by name."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -46,7 +46,7 @@
         return command
 
 
-@click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 @click.version_option(__version__, prog_name="stonetrack")
 def main() -> None:
     """A router for language-model serving: readers (prefill) and writers (decode) behind one chat API."""
--- a/stonetrack/cli/serve.py
+++ b/stonetrack/cli/serve.py
@@ -18,7 +18,7 @@
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
-def variables(pairs: tuple[str, ...]) -> dict[str, str]:
+def parse_variables(pairs: tuple[str, ...]) -> dict[str, str]:
     """Jsonnet variables from NAME=VALUE pairs."""
     made = {}
     for pair in pairs:
@@ -36,7 +36,7 @@
 VAR = click.option("--var", "var", multiple=True, metavar="NAME=VALUE", help="A Jsonnet variable (std.extVar).")
 
 
-def told_to_stop() -> threading.Event:
+def stop_on_signals() -> threading.Event:
     """Set by TERM and INT."""
     stop = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -44,11 +44,11 @@
     return stop
 
 
-def log_to(path: Path | None, level: str) -> Any:
+def open_log(path: Path | None, level: str) -> Any:
     """A logger to a file, or to standard error."""
-    from stonetrack.daemon.log import configure
+    from stonetrack.daemon.logging_setup import configure_logging
 
-    return configure(level, open(path, "a", buffering=1) if path else None)  # noqa: SIM115  (open as long as the process)
+    return configure_logging(level, open(path, "a", buffering=1) if path else None)  # noqa: SIM115  (open as long as the process)
 
 
 def load_or_exit(path: Path, var: dict[str, str]) -> Node:
@@ -67,7 +67,7 @@
 @click.option("--show", is_flag=True, help="Print the settings as they are in force, defaults included.")
 def check(file: Path, var: tuple[str, ...], show: bool) -> None:
     """Evaluate and check a settings file."""
-    settings = load_or_exit(file, variables(var))
+    settings = load_or_exit(file, parse_variables(var))
     if show:
         click.echo(msgspec.json.format(msgspec.json.encode(settings), indent=2).decode())
     else:
@@ -94,7 +94,7 @@
 @LOG
 def serve(file: Path, var: tuple[str, ...], instances: int, port: int | None, log_path: Path | None) -> None:
     """Run the node until TERM; HUP reads the settings again."""
-    given = variables(var)
+    given = parse_variables(var)
     settings = load_or_exit(file, given)
     if port is not None:
         settings = msgspec.structs.replace(settings, listen=msgspec.structs.replace(settings.listen, port=port))
@@ -107,7 +107,7 @@
     """Serve until TERM; the exit code."""
     from stonetrack.daemon.supervisor import Supervisor
 
-    log = log_to(log_path, settings.log_level)
+    log = open_log(log_path, settings.log_level)
     try:
         supervisor = Supervisor(file, settings, instances, log, log_path, given)
     except OSError as error:
@@ -133,20 +133,20 @@
 def instance(listener: int, lifeline: int, status: int, index: int, instances: int, name: str) -> None:
     """One instance; started by serve."""
     from stonetrack.daemon.instance import Instance
-    from stonetrack.daemon.log import configure
-    from stonetrack.daemon.supervisor import inherited, read_settings
+    from stonetrack.daemon.logging_setup import configure_logging
+    from stonetrack.daemon.supervisor import inherited_listener, read_settings
 
-    stop = told_to_stop()
+    stop = stop_on_signals()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the supervisor's affair
     first = read_settings(lifeline)
     if first is None:
         sys.exit(1)
     settings = parse(first)
-    log = configure(settings.log_level)
+    log = configure_logging(settings.log_level)
     # Threads give the interpreter up at every socket call; who waits for it wakes once an interval to ask. At the usual
     # 5 ms, and thousands of threads waiting, the asking alone took 7 cores.
     sys.setswitchinterval(0.05)
-    running = Instance(settings, inherited(listener), index=index, instances=instances, log=log, name=name,
+    running = Instance(settings, inherited_listener(listener), index=index, instances=instances, log=log, name=name,
                        restart=stop.set)  # fmt: skip
     running.start()
 
@@ -169,7 +169,7 @@
 S = TypeVar("S", bound=Any)
 
 
-def run_until_told(
+def run_service(
     file: Path, port: int | None, log_path: Path | None, load: Callable[[], S], run: Callable[..., None],
     damaged: type[Exception], path: str = "",
 ) -> None:  # fmt: skip
@@ -180,12 +180,12 @@
     """
     from stonetrack.frontend.host import listen
 
-    stop = told_to_stop()
+    stop = stop_on_signals()
     try:
         settings = load()
         wanted = settings.listen
         listener = listen(wanted.host, wanted.port if port is None else port, wanted.backlog)
-        log = log_to(log_path, settings.log_level)
+        log = open_log(log_path, settings.log_level)
         url = f"http://{wanted.host}:{listener.getsockname()[1]}{path}"
         run(settings, listener, log.info, lambda: click.echo(f"ready {url}"), stop)
     except OSError as error:
@@ -207,4 +207,4 @@
     from stonetrack.discovery.service import PATH, run
     from stonetrack.discovery.settings import load_lists
 
-    run_until_told(file, port, log_path, lambda: load_lists(file, variables(var)), run, KeepingError, PATH)
+    run_service(file, port, log_path, lambda: load_lists(file, parse_variables(var)), run, KeepingError, PATH)
--- a/stonetrack/daemon/controlled.py
+++ b/stonetrack/daemon/control_follower.py
@@ -34,11 +34,12 @@
 OVER = 3.0  # seconds that an answer may take over its wait
 
 
-class Controlled:
+class ControlFollower:
     """See the module.
 
-    ``take`` puts settings in force under a version and raises where the program can't go on under them; ``counts``
-    gives requests asked and served so far; ``acting`` the digest of the version that decisions are made with.
+    ``apply_settings`` puts settings in force under a version and raises where the program can't go on under them;
+    ``request_counts``
+    gives requests asked and served so far; ``acting_digest`` the digest of the version that decisions are made with.
     ``path`` is where the version is kept, None for nowhere.
     """
 
@@ -49,26 +50,26 @@
         boot: str,
         path: Path | None,
         *,
-        take: Callable[[Node, Document], None],
-        counts: Callable[[], tuple[int, int]],
-        acting: Callable[[], str],
+        apply_settings: Callable[[Node, Document], None],
+        request_counts: Callable[[], tuple[int, int]],
+        acting_digest: Callable[[], str],
         restart: Callable[[], None],
         log: Callable[[str], None],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self._own, self._name, self._boot, self._path = own, name, boot, path
-        self._take, self._counts, self._acting, self._restart = take, counts, acting, restart
-        self._log, self._draw = log, draw
+        self._take, self._counts, self._acting, self._restart = apply_settings, request_counts, acting_digest, restart
+        self._log, self._draw = log, rng
         self._lock = threading.Lock()  # one change of settings at a time
         self.follower = Follower()
         self.permit = Permit(steps_out=own.control.steps_out)
-        self.trouble = ""
-        self.asked = 0
+        self.last_error = ""
+        self.reports_sent = 0
         self._steady = False
         self._done = threading.Event()
         self._thread = threading.Thread(target=self._run, name="control", daemon=True)
 
-    def restored(self) -> tuple[Node, Document]:
+    def restore(self) -> tuple[Node, Document]:
         """The settings that the node comes back on: its own under the version kept on disk, if it still fits."""
         if self._path is None or not self._path.exists():
             return self._own, NOTHING
@@ -115,7 +116,7 @@
         """Why no request may be taken at this moment; empty where one may."""
         return self.permit.refusal(time.monotonic_ns(), self.follower.running.number)
 
-    def own_changed(self, own: Node) -> None:
+    def apply_own_settings(self, own: Node) -> None:
         """The node's own file has changed: it is in force under the version that runs.  Raises SettingsError."""
         with self._lock:
             before, self._own = self._own, own
@@ -140,15 +141,15 @@
             try:
                 answer = self._ask()
             except (OSError, msgspec.DecodeError) as error:
-                if not self.trouble:
+                if not self.last_error:
                     self._log(f"the control service does not answer: {error}")
-                self.trouble = str(error)
+                self.last_error = str(error)
                 self._done.wait(pause * self._draw.uniform(0.5, 1.0))
                 pause = min(LONGEST, 2 * pause)
                 continue
-            if self.trouble:
+            if self.last_error:
                 self._log("the control service answers again")
-            self.trouble, pause = "", FIRST
+            self.last_error, pause = "", FIRST
             news = self._follow(answer, asked_at)
             nodes = max(1, self._own.routing.routers)
             self._done.wait(LEAST + self._draw.random() * (SPREAD * nodes / 100.0 if news else LEAST))
@@ -160,7 +161,7 @@
             self._name, self._boot, running.number, running.digest, self._acting(), self.follower.refused,
             self.follower.why, asked, served, control.wait_ms, self.permit.order,
         )  # fmt: skip
-        self.asked += 1
+        self.reports_sent += 1
         told = call(control.url, "POST", "/node", report, patience=control.wait_ms / 1_000.0 + OVER)
         return msgspec.convert(told, Answer)
 
@@ -171,7 +172,7 @@
         if self.permit.out != before.out:
             self._log(f"shut out: {self.permit.out}" if self.permit.out else "let in again")
         if answer.document is not None:
-            self.offered(answer.document)
+            self.apply_document(answer.document)
         # Only now: a node whose permit ran out while it slept would take requests on the old version in between.
         self.permit = self.permit.granted(asked_at, answer.permit_ms * MS, answer.steps_out)
         if answer.restart and self.follower.running.number != answer.lifted_by:  # else this answer brought it up
@@ -179,7 +180,7 @@
             self._restart()
         return answer.document is not None
 
-    def offered(self, document: Document) -> None:
+    def apply_document(self, document: Document) -> None:
         """Take a version as far as it goes."""
         with self._lock:
             before = self.follower
--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -28,18 +28,18 @@
 from stonetrack import __version__, api, logic
 from stonetrack.audit.account import Acting
 from stonetrack.audit.keeping import Keeper, names, told
-from stonetrack.bootstrap.stages import Stage
+from stonetrack.bootstrap.readiness_stages import Stage
 from stonetrack.capture import snapshot
 from stonetrack.capture.codec import Header
 from stonetrack.capture.recorder import Recorder
 from stonetrack.capture.redact import settings_without_names
 from stonetrack.clocks import node_clock
 from stonetrack.control.documents import NOTHING, Document
-from stonetrack.daemon import meters
-from stonetrack.daemon.controlled import Controlled
+from stonetrack.daemon import instance_metrics
+from stonetrack.daemon.control_follower import ControlFollower
 from stonetrack.daemon.limits import raise_limits
-from stonetrack.daemon.places import Places
 from stonetrack.daemon.readiness import Readiness
+from stonetrack.daemon.stable_positions import StablePositions
 from stonetrack.engines.client import EngineClient
 from stonetrack.engines.failure_hints import FailureHints, last_success_lookup
 from stonetrack.engines.list_source import ListSource
@@ -58,17 +58,17 @@
 from stonetrack.settings.check import router_settings
 
 MS = 1_000_000
-MakeRouter = Callable[[api.Settings, int], RouterProtocol]
+RouterFactory = Callable[[api.Settings, int], RouterProtocol]
 
 
-def digest(settings: Node) -> str:
+def settings_digest(settings: Node) -> str:
     """Tells settings apart."""
     return blake2b(msgspec.json.encode(settings), digest_size=6).hexdigest()
 
 
-def named(settings: Node, version: Document) -> str:
+def settings_label(settings: Node, version: Document) -> str:
     """The settings' part of an acting version: a published version's number and digest, else the file's digest."""
-    return f"{version.number}.{version.digest}" if version.number else digest(settings)
+    return f"{version.number}.{version.digest}" if version.number else settings_digest(settings)
 
 
 def audit_folder(settings: Node) -> Path:
@@ -81,13 +81,13 @@
     return blake2b(Path(logic.__file__).read_bytes(), digest_size=6).hexdigest()
 
 
-def bounds(settings: Node) -> Bounds:
+def request_bounds(settings: Node) -> Bounds:
     """What bounds each request's own thread."""
     timing = settings.timing
     return Bounds(timing.stream_silence_ms * MS, timing.client_stall_ms * MS, settings.limits.send_buffer_bytes)
 
 
-class Generation:
+class RouterGeneration:
     """One router and the settings it goes by now."""
 
     def __init__(
@@ -99,7 +99,7 @@
         seed: int,
         clock: Callable[[], int],
         log: Callable[[str], None],
-        make_router: MakeRouter,
+        make_router: RouterFactory,
         origin: Callable[[], str] = lambda: "",
         keeper: Keeper | None = None,
         version: Document = NOTHING,
@@ -109,11 +109,11 @@
         self.version = version
         self.acting = Acting()
         if keeper is not None or settings.control.mark:  # nobody else asks for the digests
-            self.acting = Acting(named(settings, version), "", -1, __version__, module_digest())
+            self.acting = Acting(settings_label(settings, version), "", -1, __version__, module_digest())
         self._index, self._instances = index, instances
         told = router_settings(settings, index, instances)
         router = make_router(told, seed)
-        self.places = Places(told)
+        self.positions = StablePositions(told)
         self.recorder = self._recorder(settings, index, instances, name, seed, clock, log)
         mark = self._mark if settings.control.mark else None
         self.core = Core(router, clock, log=log, probe=self._probe, record=self._records(), acting_version=mark)
@@ -121,7 +121,7 @@
         if self.recorder is not None and isinstance(router, Router):
             self.recorder.after_gaps(self.core.run_exclusively, lambda: snapshot.take(router))
         self.engines = EngineClient(settings, clock, name, self.core.handle_event, self.core.acting_version_of)
-        self.bounds = bounds(settings)
+        self.bounds = request_bounds(settings)
         self.engines.background.start()
         self.core.start()
 
@@ -135,17 +135,17 @@
             and settings.capture == before.capture
             and settings.audit == before.audit
             and settings.control.mark == before.control.mark
-            and not self.another_deployment(settings)
+            and not self.is_different_deployment(settings)
         )
 
-    def another_deployment(self, settings: Node) -> bool:
+    def is_different_deployment(self, settings: Node) -> bool:
         """Whether settings are of other classes, or other tenants, altogether."""
-        return self.places.another_deployment(router_settings(settings, self._index, self._instances))
+        return self.positions.is_different_deployment(router_settings(settings, self._index, self._instances))
 
     def adopt(self, settings: Node, version: Document) -> list[str]:
         """Go on under other settings; the names that no longer fit and were dropped."""
         told = router_settings(settings, self._index, self._instances)
-        laid = self.places.laid_out(told)
+        laid = self.positions.arrange(told)
         router = self.core.router
         assert isinstance(router, Router)
 
@@ -155,24 +155,24 @@
                 self.recorder.went_on(lambda: snapshot.take(router))
             self.version = version
             if self._keeper is not None or settings.control.mark:
-                self.acting = structs.replace(self.acting, settings=named(settings, version))
+                self.acting = structs.replace(self.acting, settings=settings_label(settings, version))
             if self._keeper is not None:
                 self._keeper.turn(self.core.clock(), self.acting)
 
         self.core.run_exclusively(between_two_events)
-        self.places.settings = laid
-        self.bounds = bounds(settings)
+        self.positions.settings = laid
+        self.bounds = request_bounds(settings)
         self.engines.apply_settings(settings)
         self.settings = settings
-        return self.places.gone(told)
+        return self.positions.removed_names(told)
 
-    def placed(self, ask: InferenceRequest) -> InferenceRequest:
+    def with_stable_indexes(self, ask: InferenceRequest) -> InferenceRequest:
         """A request with its class and tenant where the router has them."""
         under = ask.settings
         if under is None:
             return ask
-        cls = self.places.class_at(under.classes[ask.class_index].name)
-        tenant = self.places.tenant_at(under.tenants[ask.tenant].name) if under.tenants else ask.tenant
+        cls = self.positions.class_index(under.classes[ask.class_index].name)
+        tenant = self.positions.tenant_index(under.tenants[ask.tenant].name) if under.tenants else ask.tenant
         if (cls, tenant) == (ask.class_index, ask.tenant):
             return ask
         return replace(ask, class_index=cls, tenant=tenant)
@@ -225,12 +225,12 @@
     def _probe(self, server: str) -> None:
         self.engines.probe(server)
 
-    def take_list(self, event: api.ServerList, engines: dict[str, Engine]) -> None:
+    def apply_list(self, event: api.ServerList, engines: dict[str, Engine]) -> None:
         """Addresses first: the router may send to what it is told of at once."""
         self.engines.list_changed(engines)
         self.core.handle_event(event)
 
-    def take_hints(self, lines: Mapping[str, EngineEntry]) -> None:
+    def apply_hints(self, lines: Mapping[str, EngineEntry]) -> None:
         """What the list says of engines that the steward can't reach; see ``engines.failure_hints``."""
         for name in self._hints.select(lines, self.core.clock()):
             self.core.handle_event(api.ProbeEnded(name, api.Outcome.TIMED_OUT, 0))
@@ -256,7 +256,7 @@
         name: str = "",
         seed: int | None = None,
         log: Any,
-        make_router: MakeRouter = Router,
+        make_router: RouterFactory = Router,
         restart: Callable[[], None] = lambda: None,
     ) -> None:
         self.index, self.instances = index, instances
@@ -270,35 +270,36 @@
         self._lock = threading.Lock()
         self._listing = ServerListState(settings.kinds)
         self._last_list: dict[str, Engine] = {}
-        self._old: list[Generation] = []
+        self._old: list[RouterGeneration] = []
         self._boot = os.urandom(6).hex()
         self._keeper = self._make_keeper(settings)
         self._asked = self._served = 0
         self._control = self._make_control(settings, restart)
         version = NOTHING
         if self._control is not None:
-            settings, version = self._control.restored()
+            settings, version = self._control.restore()
         self._current = self._generation(settings, version)
         self._readiness = self._make_readiness(settings)
-        self.meters = self._make_meters(settings)
+        self.instance_metrics = self._make_meters(settings)
         self._source = self._follow(settings)
         self.app = App(self)
         self.host = Host(listener, settings.limits, settings.timing, self.app.handle, rejection_response, self._warn)
 
     # Putting together.
 
-    def _make_control(self, settings: Node, restart: Callable[[], None]) -> Controlled | None:
+    def _make_control(self, settings: Node, restart: Callable[[], None]) -> ControlFollower | None:
         """Who follows the control service; a change of its settings needs a restart."""
         if not settings.control.url:
             return None
         path = Path(settings.state_dir) / f"settings-{self.index}.json" if settings.state_dir else None
-        return Controlled(
-            settings, self.name, self._boot, path, take=self._take_settings, counts=lambda: (self._asked, self._served),
-            acting=lambda: self._current.version.digest, restart=restart, log=self._warn, draw=random.Random()
+        return ControlFollower(
+            settings, self.name, self._boot, path, apply_settings=self._take_settings,
+            request_counts=lambda: (self._asked, self._served),
+            acting_digest=lambda: self._current.version.digest, restart=restart, log=self._warn, rng=random.Random()
         )  # fmt: skip
 
-    def _generation(self, settings: Node, version: Document = NOTHING) -> Generation:
-        return Generation(
+    def _generation(self, settings: Node, version: Document = NOTHING) -> RouterGeneration:
+        return RouterGeneration(
             settings, self.index, self.instances, self.name, self._seed, self.clock, self._say, self._make_router,
             lambda: self._listing.origin, self._keeper, version
         )  # fmt: skip
@@ -313,8 +314,10 @@
             every=wanted.every_ms * MS, file_bytes=wanted.file_bytes, most_files=wanted.files, log=self._warn
         )  # fmt: skip
 
-    def _make_meters(self, settings: Node) -> meters.Meters:
-        return meters.Meters(self._read, [c.name for c in settings.classes], [t.name for t in settings.tenants])
+    def _make_meters(self, settings: Node) -> instance_metrics.InstanceMetrics:
+        return instance_metrics.InstanceMetrics(
+            self._read, [c.name for c in settings.classes], [t.name for t in settings.tenants]
+        )
 
     def _make_readiness(self, settings: Node) -> Readiness:
         return Readiness(
@@ -331,8 +334,8 @@
             saved=saved,
             on_list=self._take_list,
             log=self._warn,
-            may_use_saved=self._readiness.found,
-            on_confirmed=self._readiness.document,
+            may_use_saved=self._readiness.restore_saved,
+            on_confirmed=self._readiness.confirm_list,
             nodes=settings.routing.routers or self.instances,
         )
 
@@ -352,7 +355,7 @@
     def reload(self, settings: Node) -> None:
         """The node's own settings have changed; what the listening socket or the limits need takes a restart."""
         if self._control is not None:
-            self._control.own_changed(settings)
+            self._control.apply_own_settings(settings)
         else:
             self._take_settings(settings, NOTHING)
 
@@ -367,7 +370,7 @@
                 if same_list:
                     entries = self._listing.to_json()
                     event = ServerListState(settings.kinds).apply_json(entries, self.clock(), saved=True)
-                    fresh.take_list(event, dict(self._last_list))
+                    fresh.apply_list(event, dict(self._last_list))
                 self._current = fresh
                 self._old.append(old)
             if not same_list or settings.source != source:
@@ -378,10 +381,14 @@
                 self._source = self._follow(settings)
                 self._source.start()
             self.host.timing = settings.timing
-            if not kept and old.another_deployment(settings):
-                self.meters = self._make_meters(settings)  # what was counted is of names that these settings lack
-            self.meters.names([c.name for c in settings.classes], [t.name for t in settings.tenants])
-        self._log.info("settings changed", instance=self.name, settings=named(settings, version), dropped=dropped)
+            if not kept and old.is_different_deployment(settings):
+                self.instance_metrics = self._make_meters(
+                    settings
+                )  # what was counted is of names that these settings lack
+            self.instance_metrics.set_names([c.name for c in settings.classes], [t.name for t in settings.tenants])
+        self._log.info(
+            "settings changed", instance=self.name, settings=settings_label(settings, version), dropped=dropped
+        )
         self._retire()
 
     def _retire(self) -> None:
@@ -437,7 +444,7 @@
         if self._control is not None and (why := self._control.refusal()):
             raise ApiError(503, f"this node takes no requests: {why}", code="node_out", headers=(("Retry-After", "1"),))
         generation = self._current  # after the permit was looked at: never an older version than the permit is for
-        ask = generation.placed(ask)
+        ask = generation.with_stable_indexes(ask)
         life = RequestRunner(generation.core, generation.engines, generation.bounds, ask, sink, waker).run()
         if self._old:
             self._retire()
@@ -446,12 +453,12 @@
     def health(self) -> tuple[bool, dict[str, Any]]:
         """Whether it takes requests, and what it knows of itself."""
         up = [line.name for line in self._listing.entries.values() if line.state is api.ServerState.UP]
-        why = self._readiness.why() or (self._control.refusal() if self._control is not None else "")
+        why = self._readiness.not_ready_reason() or (self._control.refusal() if self._control is not None else "")
         status = "draining" if self.draining else why or ("ok" if up else "no engine is up")
         return status == "ok", {
             "status": status,
             "stage": self._readiness.stage.value,
-            "on_saved_list": self._readiness.on_saved,
+            "on_saved_list": self._readiness.on_saved_list,
             "instance": self.name,
             "version": __version__,
             "pid": os.getpid(),
@@ -469,11 +476,11 @@
 
     def metrics(self) -> tuple[bytes, str]:
         """The metrics page."""
-        return self.meters.page()
+        return self.instance_metrics.render()
 
     def record(self, record: RequestRecord) -> None:
         """Count a request and log it."""
-        self.meters.note(record)
+        self.instance_metrics.observe(record)
         if record.outcome not in ("gone", "rejected"):
             self._asked += 1
             self._served += record.outcome == "served"
@@ -498,9 +505,9 @@
             self._last_list = engines
             generations = [*self._old, self._current]
         for each in generations:
-            each.take_list(event, engines)
+            each.apply_list(event, engines)
             if self.settings.source.heed_checks:
-                each.take_hints(self._listing.entries)
+                each.apply_hints(self._listing.entries)
         self._log.info(
             "server list", instance=self.name, kind=event.kind.value, version=event.version, engines=len(event.entries)
         )
@@ -514,30 +521,36 @@
     def _read(self) -> Iterable[Metric]:
         current = self._current
         pool, background = current.engines.pool, current.engines.background
-        yield meters.gauge("open_requests", "Requests under way", self.open_requests)
-        yield meters.gauge("connections", "Client connections", self.host.connections)
-        yield meters.gauge("workers", "Worker threads", self.host.workers)
-        yield meters.gauge("open_releases", "States and places not let go of yet", background.open_releases)
-        yield meters.gauge("release_engines_away", "Engines that releases wait for", background.unreachable_engines)
-        yield meters.gauge("dropped_releases", "Releases given up, of what stays held", background.dropped_releases)
-        yield meters.counts(
+        yield instance_metrics.gauge("open_requests", "Requests under way", self.open_requests)
+        yield instance_metrics.gauge("connections", "Client connections", self.host.connections)
+        yield instance_metrics.gauge("workers", "Worker threads", self.host.workers)
+        yield instance_metrics.gauge("open_releases", "States and places not let go of yet", background.open_releases)
+        yield instance_metrics.gauge(
+            "release_engines_away", "Engines that releases wait for", background.unreachable_engines
+        )
+        yield instance_metrics.gauge(
+            "dropped_releases", "Releases given up, of what stays held", background.dropped_releases
+        )
+        yield instance_metrics.counters(
             "refused_clients", "Clients refused before a request was taken", "why", {"limits": self.host.rejected}
         )
-        yield meters.counts(
+        yield instance_metrics.counters(
             "engine_connections", "Connections to engines", "how", {"opened": pool.opened, "reused": pool.reused}
         )
-        yield meters.counts("events", "Events told to the router", "event", dict(current.core.events))
-        yield meters.counts("actions", "Actions the router decided", "action", dict(current.core.actions))
+        yield instance_metrics.counters("events", "Events told to the router", "event", dict(current.core.events))
+        yield instance_metrics.counters("actions", "Actions the router decided", "action", dict(current.core.actions))
         if current.recorder is not None:
-            yield meters.counts("capture_records", "Calls of the router, by what became of them", "what",
-                                {"written": current.recorder.written, "lost": current.recorder.lost})  # fmt: skip
-        yield meters.counts("list_questions", "Questions to the list service, by how they ended", "how",
-                            dict(self._source.poll_results))  # fmt: skip
-        steps = self._source.steps
-        yield meters.by("list_pending", "Engines of the list that are not yet as it says", "what",
-                        {"new": float(steps.waiting), "gone": float(steps.held)})  # fmt: skip
-        yield meters.gauge("list_version", "Version of the server list in force", self._listing.version)
-        yield meters.by("stage", "Where the process stands, 1 for its stage", "stage",
-                        {stage.value: float(stage is self._readiness.stage) for stage in Stage})  # fmt: skip
+            yield instance_metrics.counters("capture_records", "Calls of the router, by what became of them", "what",
+                                            {"written": current.recorder.written, "lost": current.recorder.lost})  # fmt: skip
+        yield instance_metrics.counters("list_questions", "Questions to the list service, by how they ended", "how",
+                                        dict(self._source.poll_results))  # fmt: skip
+        steps = self._source.gradual_list
+        yield instance_metrics.gauges("list_pending", "Engines of the list that are not yet as it says", "what",
+                                      {"new": float(steps.pending_additions), "gone": float(steps.unconfirmed_removals)})  # fmt: skip
+        yield instance_metrics.gauge("list_version", "Version of the server list in force", self._listing.version)
+        yield instance_metrics.gauges("stage", "Where the process stands, 1 for its stage", "stage",
+                                      {stage.value: float(stage is self._readiness.stage) for stage in Stage})  # fmt: skip
         states = Counter(line.state.value for line in self._listing.entries.values())
-        yield meters.by("engines", "Engines in the list", "state", {k: float(v) for k, v in states.items()})
+        yield instance_metrics.gauges(
+            "engines", "Engines in the list", "state", {k: float(v) for k, v in states.items()}
+        )
--- a/stonetrack/daemon/meters.py
+++ b/stonetrack/daemon/instance_metrics.py
@@ -28,13 +28,13 @@
         yield from self._read()
 
 
-class Meters:
+class InstanceMetrics:
     """The metrics of one instance."""
 
     def __init__(self, read: Callable[[], Iterable[Metric]], classes: list[str], tenants: list[str]) -> None:
         self.registry = CollectorRegistry()
         self._children: dict[tuple[str, str, str, str], tuple[Counter, Counter, Histogram, Histogram]] = {}
-        self.names(classes, tenants)
+        self.set_names(classes, tenants)
         self.requests = Counter(
             "stonetrack_requests",
             "Requests by how they ended",
@@ -42,14 +42,14 @@
             registry=self.registry,
         )
         self.attempts = Counter("stonetrack_request_attempts", "Attempts made", ["class"], registry=self.registry)
-        self.first = Histogram(
+        self.time_to_first_token = Histogram(
             "stonetrack_first_token_seconds",
             "From the request's head to the first token",
             ["class"],
             buckets=_FIRST,
             registry=self.registry,
         )
-        self.took = Histogram(
+        self.duration = Histogram(
             "stonetrack_request_seconds",
             "From the request's head to its end",
             ["class"],
@@ -58,19 +58,19 @@
         )
         self.registry.register(_Read(read))
 
-    def names(self, classes: list[str], tenants: list[str]) -> None:
+    def set_names(self, classes: list[str], tenants: list[str]) -> None:
         """Take the names of new settings; what was counted stays."""
         self._children.clear()
         self._classes, self._tenants = frozenset(classes), frozenset(tenants)
 
-    def note(self, record: RequestRecord) -> None:
+    def observe(self, record: RequestRecord) -> None:
         """Count one request; one that came under settings that lack its class or tenant now counts as ``OTHER``."""
         key = (record.frontend, record.class_name, record.tenant_name, record.outcome)
         if (found := self._children.get(key)) is None:  # looking labels up anew costs more than counting
             name = record.class_name if record.class_name in self._classes else OTHER
             tenant = record.tenant_name if record.tenant_name in self._tenants | {""} else OTHER
             found = (self.requests.labels(record.frontend, name, tenant, record.outcome), self.attempts.labels(name),
-                     self.took.labels(name), self.first.labels(name))  # fmt: skip
+                     self.duration.labels(name), self.time_to_first_token.labels(name))  # fmt: skip
             self._children[key] = found
         requests, attempts, took, first = found
         requests.inc()
@@ -79,7 +79,7 @@
         if record.time_to_first_token >= 0:
             first.observe(record.time_to_first_token / SECOND)
 
-    def page(self) -> tuple[bytes, str]:
+    def render(self) -> tuple[bytes, str]:
         """The metrics page and its content type."""
         return generate_latest(self.registry), CONTENT_TYPE_LATEST
 
@@ -89,7 +89,7 @@
     return GaugeMetricFamily(f"stonetrack_{name}", text, value=value)
 
 
-def counts(name: str, text: str, label: str, values: dict[str, int]) -> Metric:
+def counters(name: str, text: str, label: str, values: dict[str, int]) -> Metric:
     """A counter with one label."""
     family = CounterMetricFamily(f"stonetrack_{name}", text, labels=[label])
     for key, value in sorted(values.items()):
@@ -97,7 +97,7 @@
     return family
 
 
-def by(name: str, text: str, label: str, values: dict[str, float]) -> Metric:
+def gauges(name: str, text: str, label: str, values: dict[str, float]) -> Metric:
     """A gauge with one label."""
     family = GaugeMetricFamily(f"stonetrack_{name}", text, labels=[label])
     for key, value in sorted(values.items()):
--- a/stonetrack/daemon/log.py
+++ b/stonetrack/daemon/logging_setup.py
@@ -9,7 +9,7 @@
 import structlog
 
 
-def configure(level: str, out: TextIO | None = None) -> Any:
+def configure_logging(level: str, out: TextIO | None = None) -> Any:
     """Set logging up and return a logger."""
     structlog.configure(
         processors=[
--- a/stonetrack/daemon/places.py
+++ b/stonetrack/daemon/stable_positions.py
@@ -19,13 +19,13 @@
     return (*kept, *given.values())
 
 
-class Places:
+class StablePositions:
     """One router's; ``settings`` are those it was made with."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
 
-    def laid_out(self, settings: api.Settings) -> api.Settings:
+    def arrange(self, settings: api.Settings) -> api.Settings:
         """Other settings with everything at its place."""
         named = {each.name for each in settings.classes}
         classes = _laid(self.settings.classes, settings.classes)
@@ -36,13 +36,13 @@
             tenants=_laid(self.settings.tenants, settings.tenants),
         )
 
-    def another_deployment(self, settings: api.Settings) -> bool:
+    def is_different_deployment(self, settings: api.Settings) -> bool:
         """Whether other settings have no class, or no tenant, in common with these: nothing learned is for them."""
         classes = {each.name for each in self.settings.classes} & {each.name for each in settings.classes}
         ours, theirs = ({each.name for each in s.tenants} for s in (self.settings, settings))
         return not classes or bool(ours and theirs and not ours & theirs)
 
-    def gone(self, settings: api.Settings) -> list[str]:
+    def removed_names(self, settings: api.Settings) -> list[str]:
         """What other settings no longer have, by name."""
         classes = {c.name for c in settings.classes}
         tenants = {t.name for t in settings.tenants}
@@ -50,11 +50,11 @@
             f"tenant {t.name}" for t in self.settings.tenants if t.name not in tenants
         ]
 
-    def class_at(self, name: str) -> int:
+    def class_index(self, name: str) -> int:
         """The place of a class.  Raises KeyError."""
         return self._place([c.name for c in self.settings.classes], name)
 
-    def tenant_at(self, name: str) -> int:
+    def tenant_index(self, name: str) -> int:
         """The place of a tenant.  Raises KeyError."""
         return self._place([t.name for t in self.settings.tenants], name)
 
--- a/stonetrack/daemon/supervisor.py
+++ b/stonetrack/daemon/supervisor.py
@@ -31,7 +31,7 @@
 import msgspec
 
 from stonetrack.daemon.limits import raise_limits
-from stonetrack.daemon.naming import node_name
+from stonetrack.daemon.node_name import node_name
 from stonetrack.frontend.host import listen
 from stonetrack.settings import Node, SettingsError, load
 
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Child:
+class ChildProcess:
     """One instance's place."""
 
     index: int
@@ -73,7 +73,7 @@
         raise_limits()
         self.listener = listen(settings.listen.host, settings.listen.port, settings.listen.backlog)
         self.port: int = self.listener.getsockname()[1]
-        self.children = [Child(n) for n in range(instances)]
+        self.children = [ChildProcess(n) for n in range(instances)]
         self._wake_read, self._wake_write = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
         self._signals: list[int] = []
         self._told_ready = False
@@ -89,7 +89,7 @@
 
     # Instances.
 
-    def _spawn(self, child: Child) -> None:
+    def _spawn(self, child: ChildProcess) -> None:
         lifeline_read, child.lifeline = os.pipe2(os.O_CLOEXEC)
         child.status, status_write = os.pipe2(os.O_CLOEXEC)
         command = [
@@ -126,14 +126,14 @@
         child.ready, child.began, child.starts = False, time.monotonic(), child.starts + 1
         self._send(child, self.settings)
 
-    def _send(self, child: Child, settings: Node) -> None:
+    def _send(self, child: ChildProcess, settings: Node) -> None:
         data = msgspec.json.encode(settings)
         with contextlib.suppress(OSError):
             view = memoryview(len(data).to_bytes(4, "big") + data)
             while view:
                 view = view[os.write(child.lifeline, view) :]
 
-    def _reap(self, child: Child) -> None:
+    def _reap(self, child: ChildProcess) -> None:
         """Note an instance that has ended."""
         process = child.process
         if process is None or process.poll() is None:
@@ -281,6 +281,6 @@
     return None if head is None else whole(int.from_bytes(head, "big"))
 
 
-def inherited(fd: int) -> socket.socket:
+def inherited_listener(fd: int) -> socket.socket:
     """The listening socket that was passed on."""
     return socket.socket(fileno=fd)
--- a/stonetrack/engines/list_source.py
+++ b/stonetrack/engines/list_source.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 
 from stonetrack import api
-from stonetrack.bootstrap.asking import Asker, Ended, Terms
-from stonetrack.bootstrap.holding import Choice, Holding, Stamp
-from stonetrack.bootstrap.steps import Pace, Steps
+from stonetrack.bootstrap.gradual_changes import GradualServerList, StepSettings
+from stonetrack.bootstrap.list_versions import Decision, DocumentVersion, VersionTracker
+from stonetrack.bootstrap.polling import PollResult, PollScheduler, PollSettings
 from stonetrack.durable import save
 from stonetrack.engines.calls import CallFailed, exchange
 from stonetrack.engines.server_list import Engine, ListDocument, ListError, ServerListState, parse_document
@@ -68,10 +68,10 @@
         self._signature: tuple[int, int, int] | None = None
         self._last_error = ""
         self._saved_at = 0
-        terms = Terms(nodes, source.lists_per_second, source.wait_ms * MS, source.poll_ms * MS)
+        terms = PollSettings(nodes, source.lists_per_second, source.wait_ms * MS, source.poll_ms * MS)
         self._terms, self._rng = terms, rng or random.Random()
-        self.holding = Holding()
-        self.steps = Steps(Pace(source.step_share, source.step_ms * MS, source.gone_share))
+        self.versions = VersionTracker()
+        self.gradual_list = GradualServerList(StepSettings(source.step_share, source.step_ms * MS, source.gone_share))
         self._lock = threading.Lock()  # guards the steps, and the order of events
         self._stepping = False
         self.poll_results: Counter[str] = Counter()  # number of polls by result
@@ -99,12 +99,12 @@
         self._state.adopt(restored, accepted)  # the base of the changes to ask for, even if it is not used
         if accepted:
             with self._lock:
-                self.steps.aim(entries, frozenset(), now)
+                self.gradual_list.set_target(entries, frozenset(), now)
                 self._on_list(event, dict(restored.engines))
         else:
             self._log(f"saved server list not used: confirmed {age / SECOND:.0f} s ago")
         if not self._settings.file and document.origin:  # a history without a name may have been restarted
-            self.holding.restore(document.origin, document.version)
+            self.versions.restore(document.origin, document.version)
 
     def _apply(self, document: ListDocument) -> None:
         now = self._clock()
@@ -117,41 +117,42 @@
     def _advance(self, event: api.ServerList | None, reported: frozenset[str], now: int) -> None:
         """Bring the list into force, in steps if necessary; ``event`` has the changes, None for the whole list."""
         with self._lock:
-            direct = self._state.notified and not self.steps.under_way
-            self.steps.aim(self._state.router_entries(), reported, now)
+            direct = self._state.notified and not self.gradual_list.in_progress
+            self.gradual_list.set_target(self._state.router_entries(), reported, now)
             self._state.notified = True
-            if event is not None and direct and not self.steps.under_way:
+            if event is not None and direct and not self.gradual_list.in_progress:
                 self._on_list(event, dict(self._state.engines))
             else:
                 self._notify_all()
-            start = self.steps.waiting and not self._stepping
+            start = self.gradual_list.pending_additions and not self._stepping
             self._stepping |= bool(start)
-            if self.steps.held:
+            if self.gradual_list.unconfirmed_removals:
                 self._log(
-                    f"server list: {self.steps.held} engines disappeared at once; kept until the list is confirmed"
+                    f"server list: {self.gradual_list.unconfirmed_removals} engines disappeared at once; "
+                    "kept until the list is confirmed"
                 )
-            if self.steps.waiting:
-                self._log(f"server list: {self.steps.waiting} new engines are added in steps")
+            if self.gradual_list.pending_additions:
+                self._log(f"server list: {self.gradual_list.pending_additions} new engines are added in steps")
         if start:
             threading.Thread(target=self._run_steps, name="list-steps", daemon=True).start()
 
     def _notify_all(self) -> None:
         """Notify the node of the whole list in force.  Requires the lock."""
-        entries = tuple(self.steps.in_force.values())
+        entries = tuple(self.gradual_list.in_force.values())
         self._on_list(api.ServerList(api.ListKind.FULL, self._state.version, entries), dict(self._state.engines))
 
     def _run_steps(self) -> None:
         """Take one step after another until the whole list is in force."""
         while True:
             with self._lock:
-                due = self.steps.due()
+                due = self.gradual_list.due()
                 self._stepping = due is not None
             if due is None or self._stopping.wait(max(0.0, (due - self._clock()) / SECOND)):
                 return
             with self._lock:
-                if self.steps.tick(self._clock()):
+                if self.gradual_list.tick(self._clock()):
                     self._notify_all()
-            self._on_confirmed(self._up_roles(self.steps.in_force))
+            self._on_confirmed(self._up_roles(self.gradual_list.in_force))
 
     def _up_roles(self, entries: dict[str, api.ServerEntry]) -> dict[str, str]:
         """Roles of the engines among ``entries`` that are up, by name."""
@@ -162,9 +163,9 @@
         """The service has sent or confirmed the list in force."""
         now = self._clock()
         with self._lock:
-            if self.steps.confirmed(now):
+            if self.gradual_list.confirmed(now):
                 self._notify_all()
-        self._on_confirmed(self._up_roles(self.steps.in_force))
+        self._on_confirmed(self._up_roles(self.gradual_list.in_force))
         if self._saved_path is not None and (write or now - self._saved_at > SAVE_INTERVAL):
             self._saved_at = now
             with contextlib.suppress(OSError):
@@ -213,28 +214,28 @@
     # Discovery service.
 
     def _run_http(self) -> None:
-        asker = Asker(self._terms, self._rng, self._clock())
-        while not self._stopping.wait(max(0.0, (asker.due - self._clock()) / SECOND)):
-            poll = asker.ask(self._clock(), *self.holding.question())
+        scheduler = PollScheduler(self._terms, self._rng, self._clock())
+        while not self._stopping.wait(max(0.0, (scheduler.due - self._clock()) / SECOND)):
+            poll = scheduler.start_poll(self._clock(), *self.versions.poll_base())
             if poll is None:
                 continue
             retry_after: float | None = None
             try:
                 result, retry_after = self._poll(poll.after, poll.origin, poll.wait)
             except CallFailed as error:
-                result = Ended.AWAY if error.outcome is api.Outcome.CONNECT_FAILED else Ended.FAILED
+                result = PollResult.UNREACHABLE if error.outcome is api.Outcome.CONNECT_FAILED else PollResult.FAILED
                 self._log_error(f"server list from {self._settings.url}: {error}")
             except ListError as error:
-                result = Ended.UNFIT
-                self.holding.whole_next = True
+                result = PollResult.UNUSABLE
+                self.versions.request_full = True
                 self._log_error(f"server list from {self._settings.url}: {error}")
             except Exception as error:  # no list may end the thread that follows it
-                result = Ended.UNFIT
+                result = PollResult.UNUSABLE
                 self._log_error(f"server list: {type(error).__name__}: {error}")
             self.poll_results[result.value] += 1
-            asker.ended(self._clock(), result, retry_after)
+            scheduler.finish_poll(self._clock(), result, retry_after)
 
-    def _poll(self, after: int, origin: str, wait: int) -> tuple[Ended, float | None]:
+    def _poll(self, after: int, origin: str, wait: int) -> tuple[PollResult, float | None]:
         address, slash, path = self._settings.url.removeprefix("http://").partition("/")
         host, _, port = address.rpartition(":")
         separator = "&" if "?" in path else "?"
@@ -248,37 +249,37 @@
             host.strip("[]"), int(port), request, wait / SECOND + ANSWER_MARGIN_S, limits, CONNECT_TIMEOUT_S
         )
         if self._stopping.is_set():
-            return Ended.UNCHANGED, None
+            return PollResult.UNCHANGED, None
         if head.status == 200:
             return self._decide(parse_document(body)), None
         if head.status == 204:
-            self.holding.confirmed()
-            if self.holding.version >= 0:
+            self.versions.confirmed()
+            if self.versions.version >= 0:
                 self._confirm_unchanged()
-            return Ended.UNCHANGED, None
+            return PollResult.UNCHANGED, None
         self._log_error(f"server list from {self._settings.url}: it answered {head.status}")
         if head.status in (429, 503):
-            return Ended.TURNED_AWAY, _parse_retry_after(head.headers.get("retry-after"))
-        return Ended.FAILED, None
+            return PollResult.REJECTED, _parse_retry_after(head.headers.get("retry-after"))
+        return PollResult.FAILED, None
 
-    def _decide(self, document: ListDocument) -> Ended:
+    def _decide(self, document: ListDocument) -> PollResult:
         base = document.after if document.kind == "changes" else -1
-        stamp = Stamp(document.origin, document.version, base)
-        choice = self.holding.judge(stamp, self._clock())
-        if choice is Choice.TAKE:
+        stamp = DocumentVersion(document.origin, document.version, base)
+        choice = self.versions.decide(stamp, self._clock())
+        if choice is Decision.ACCEPT:
             self._apply(document)
-            self.holding.taken(stamp, self._clock())
-            return Ended.TAKEN
-        if choice is Choice.SAME:
-            self.holding.taken(stamp, self._clock())
+            self.versions.accepted(stamp, self._clock())
+            return PollResult.ACCEPTED
+        if choice is Decision.SAME:
+            self.versions.accepted(stamp, self._clock())
             self._confirm_unchanged()
-            return Ended.TAKEN
+            return PollResult.ACCEPTED
         self._log_error(
             f"server list from {self._settings.url}: ignored version {document.version} of "
             f"{document.origin or 'no history'} ({choice.value}); "
-            f"in force: {self.holding.version} of {self.holding.origin or 'no history'}"
+            f"in force: {self.versions.version} of {self.versions.origin or 'no history'}"
         )
-        return Ended.UNCHANGED if choice is Choice.NO_BASE else Ended.UNFIT
+        return PollResult.UNCHANGED if choice is Decision.NO_BASE else PollResult.UNUSABLE
 
 
 def _parse_retry_after(text: str) -> float | None:
--- a/stonetrack/fleet/model.py
+++ b/stonetrack/fleet/model.py
@@ -1,6 +1,7 @@
 """The list traffic of a fleet in simulated time: the nodes' and the service's own decisions, no process, no socket.
 
-Each node is an :class:`~stonetrack.bootstrap.asking.Asker` and a :class:`~stonetrack.bootstrap.holding.Holding`, the
+Each node is a :class:`~stonetrack.bootstrap.polling.PollScheduler` and a
+:class:`~stonetrack.bootstrap.list_versions.VersionTracker`, the
 service the :class:`~stonetrack.discovery.turns.Turns` of the real one; what lies between them is a delay for each way.
 What passes is written down in the links' words (:mod:`.links`), so that one judge reads both.
 """
@@ -14,8 +15,8 @@
 from functools import partial
 from typing import Any
 
-from stonetrack.bootstrap.asking import Asker, Ended, Question, Terms
-from stonetrack.bootstrap.holding import Choice, Holding, Stamp
+from stonetrack.bootstrap.list_versions import Decision, DocumentVersion, VersionTracker
+from stonetrack.bootstrap.polling import Poll, PollResult, PollScheduler, PollSettings
 from stonetrack.discovery.turns import ComeAgain, Turns
 from stonetrack.fleet.script import Script
 
@@ -31,8 +32,8 @@
     """One node and the question that it has out."""
 
     name: str
-    asker: Asker
-    holding: Holding = field(default_factory=Holding)
+    scheduler: PollScheduler
+    versions: VersionTracker = field(default_factory=VersionTracker)
     number: int = 0  # of its question
 
 
@@ -42,7 +43,7 @@
 
     node: _Node
     number: int
-    question: Question
+    question: Poll
 
 
 class Model:
@@ -61,8 +62,10 @@
         self._polls: dict[int, _Poll] = {}  # by the question they put
         self._away = self._silent = False
         self._mute: list[Callable[[], None]] = []  # what arrives, either way, once the link is whole again
-        terms = Terms(script.nodes, service.lists_per_second, script.wait_ms * MS)
-        self._nodes = [_Node(f"n{n}", Asker(terms, random.Random(self._draw.random()), 0)) for n in range(script.nodes)]
+        terms = PollSettings(script.nodes, service.lists_per_second, script.wait_ms * MS)
+        self._nodes = [
+            _Node(f"n{n}", PollScheduler(terms, random.Random(self._draw.random()), 0)) for n in range(script.nodes)
+        ]
 
     # Time.
 
@@ -81,8 +84,8 @@
         """All of the script's time."""
         for node in self._nodes:
             began = int(self._draw.random() * self.script.start_within_ms * MS)
-            node.asker.due += began
-            self._at(node.asker.due, partial(self._ask, node))
+            node.scheduler.due += began
+            self._at(node.scheduler.due, partial(self._ask, node))
         for fault in self.script.faults:
             if fault.to == "lists":
                 self._at(int(fault.at * SECOND), partial(self._fault, fault.what, fault.for_s))
@@ -106,7 +109,7 @@
             self._away = True
             polls, self._polls = self._polls, {}
             for poll in polls.values():
-                self._later_end(poll.node, poll.number, Ended.FAILED, "reset")
+                self._later_end(poll.node, poll.number, PollResult.FAILED, "reset")
             if what == "lose_state":
                 self._origin, self._version = f"{self._origin}'", self._version + 1_000
             if what != "refuse":
@@ -136,15 +139,15 @@
     # A node.
 
     def _ask(self, node: _Node) -> None:
-        question = node.asker.ask(self._now, *node.holding.question())
+        question = node.scheduler.start_poll(self._now, *node.versions.poll_base())
         if question is None:
-            if not node.asker.under_way:
-                self._at(node.asker.due, lambda: self._ask(node))
+            if not node.scheduler.poll_in_flight:
+                self._at(node.scheduler.due, lambda: self._ask(node))
             return
         node.number += 1
         if self._away:
             self._note("refused", node)
-            self._later_end(node, node.number, Ended.AWAY, "")
+            self._later_end(node, node.number, PollResult.UNREACHABLE, "")
             return
         number = node.number
         self._note("head", node, after=question.after)
@@ -153,11 +156,11 @@
         self._at(self._now + limit, lambda: self._timed_out(node, number))
 
     def _timed_out(self, node: _Node, number: int) -> None:
-        if node.number == number and node.asker.under_way:
+        if node.number == number and node.scheduler.poll_in_flight:
             self._note("gave up", node)
-            self._over(node, number, Ended.FAILED)
+            self._over(node, number, PollResult.FAILED)
 
-    def _later_end(self, node: _Node, number: int, how: Ended, what: str) -> None:
+    def _later_end(self, node: _Node, number: int, how: PollResult, what: str) -> None:
         def end() -> None:
             if what and node.number == number:
                 self._note(what, node)
@@ -165,31 +168,31 @@
 
         self._at(self._now + self._way(), end)
 
-    def _over(self, node: _Node, number: int, how: Ended, retry_after: float | None = None) -> None:
-        if node.number != number or not node.asker.under_way:
+    def _over(self, node: _Node, number: int, how: PollResult, retry_after: float | None = None) -> None:
+        if node.number != number or not node.scheduler.poll_in_flight:
             return
-        node.asker.ended(self._now, how, retry_after)
-        self._at(node.asker.due, lambda: self._ask(node))
+        node.scheduler.finish_poll(self._now, how, retry_after)
+        self._at(node.scheduler.due, lambda: self._ask(node))
 
-    def _heard(self, node: _Node, number: int, stamp: Stamp, whole: bool, size: int) -> None:
-        if node.number != number or not node.asker.under_way:
+    def _heard(self, node: _Node, number: int, stamp: DocumentVersion, whole: bool, size: int) -> None:
+        if node.number != number or not node.scheduler.poll_in_flight:
             return
         kind = "full" if whole else "changes"
         self._note("answer", node, status=200, kind=kind, version=stamp.version, origin=stamp.origin, bytes=size)
-        choice = node.holding.judge(stamp, self._now)
-        if choice in (Choice.TAKE, Choice.SAME):
-            node.holding.taken(stamp, self._now)
-            self._over(node, number, Ended.TAKEN)
+        choice = node.versions.decide(stamp, self._now)
+        if choice in (Decision.ACCEPT, Decision.SAME):
+            node.versions.accepted(stamp, self._now)
+            self._over(node, number, PollResult.ACCEPTED)
         else:
-            self._over(node, number, Ended.UNCHANGED if choice is Choice.NO_BASE else Ended.UNFIT)
+            self._over(node, number, PollResult.UNCHANGED if choice is Decision.NO_BASE else PollResult.UNUSABLE)
 
     # The service.
 
-    def _arrived(self, node: _Node, number: int, question: Question) -> None:
-        if node.number != number or not node.asker.under_way:
+    def _arrived(self, node: _Node, number: int, question: Poll) -> None:
+        if node.number != number or not node.scheduler.poll_in_flight:
             return  # its connection was closed meanwhile
         if self._away:
-            self._later_end(node, number, Ended.FAILED, "reset")
+            self._later_end(node, number, PollResult.FAILED, "reset")
         elif question.wait and question.origin == self._origin and question.after == self._version:
             poll = _Poll(node, number, question)
             self._polls[id(poll)] = poll
@@ -203,12 +206,12 @@
             def heard() -> None:
                 if poll.node.number == poll.number:
                     self._note("answer", poll.node, status=204, bytes=0)
-                    poll.node.holding.confirmed()
-                    self._over(poll.node, poll.number, Ended.UNCHANGED)
+                    poll.node.versions.confirmed()
+                    self._over(poll.node, poll.number, PollResult.UNCHANGED)
 
             self._send(heard)
 
-    def _answer(self, node: _Node, number: int, question: Question) -> None:
+    def _answer(self, node: _Node, number: int, question: Poll) -> None:
         knows = question.origin == self._origin and self._remembered <= question.after <= self._version
         size = self.script.list_bytes
         if knows:
@@ -219,7 +222,7 @@
 
             def turned() -> None:
                 self._note("answer", node, status=503, retry_after=after, bytes=0)
-                self._over(node, number, Ended.TURNED_AWAY, float(after))
+                self._over(node, number, PollResult.REJECTED, float(after))
 
             self._send(turned)
             return
@@ -228,9 +231,9 @@
         def serve() -> None:
             self._turns.done(node.name)
             if self._away and self._now > began:
-                self._later_end(node, number, Ended.FAILED, "reset")
+                self._later_end(node, number, PollResult.FAILED, "reset")
                 return
-            stamp = Stamp(self._origin, self._version, question.after if knows else -1)
+            stamp = DocumentVersion(self._origin, self._version, question.after if knows else -1)
             self._send(lambda: self._heard(node, number, stamp, not knows, size))
 
         self._at(turn.at, serve)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -14,7 +14,7 @@
 import msgspec
 import structlog
 
-from stonetrack.daemon.instance import Instance, MakeRouter
+from stonetrack.daemon.instance import Instance, RouterFactory
 from stonetrack.emulator.engine import Spec
 from stonetrack.emulator.host import Fleet, Host, small_fleet
 from stonetrack.emulator.tap import Tap
@@ -71,7 +71,7 @@
 class Harness:
     """One instance and its emulated engines."""
 
-    def __init__(self, fleet: Fleet, settings: dict[str, Any], make_router: MakeRouter = Router) -> None:
+    def __init__(self, fleet: Fleet, settings: dict[str, Any], make_router: RouterFactory = Router) -> None:
         self.tap = Tap(None)
         self.engines = Host(fleet, self.tap)
         self._thread = threading.Thread(target=self.engines.run, daemon=True)
@@ -116,7 +116,7 @@
 
 @contextmanager
 def harness(prefill: int = 2, decode: int = 2, mixed: int = 0, *, settings: dict[str, Any] | None = None,
-        specs: tuple[Spec, ...] | None = None, make_router: MakeRouter = Router, list_delay_ms: float = 10.0,
+        specs: tuple[Spec, ...] | None = None, make_router: RouterFactory = Router, list_delay_ms: float = 10.0,
         **spec: Any) -> Iterator[Harness]:  # fmt: skip
     """A running harness."""
     engines = specs or small_fleet(prefill, decode, mixed, **{**QUICK, **spec})
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -26,7 +26,7 @@
 from stonetrack.control.rollout import Next, Sample, Terms, Verdict, step, verdict
 from stonetrack.control.stale_nodes import Evidence, Node, Order, Rules, orders
 from stonetrack.control.wire import Answer, Report
-from stonetrack.daemon.controlled import Controlled
+from stonetrack.daemon.control_follower import ControlFollower
 from stonetrack.fleet.processes import program
 from stonetrack.settings import parse
 from tests.harness import raw_settings
@@ -90,23 +90,26 @@
     path, said = tmp_path / "settings-0.json", list[str]()
     path.write_bytes(msgspec.json.encode(made(7, {"routing": {"max_attempts": 3}}, "rule", 2, "s")))
 
-    def started() -> Controlled:
-        return Controlled(own, "n", "b", path, take=lambda node, document: None, counts=lambda: (0, 0),
-                          acting=lambda: "", restart=lambda: None, log=said.append, draw=random.Random(1))  # fmt: skip
+    def started() -> ControlFollower:
+        return ControlFollower(own, "n", "b", path, apply_settings=lambda node, document: None,
+                               request_counts=lambda: (0, 0), acting_digest=lambda: "", restart=lambda: None,
+                               log=said.append, rng=random.Random(1))  # fmt: skip
 
     for _ in range(3):
-        settings, document_of = started().restored()
+        settings, document_of = started().restore()
         assert document_of.number == 7 and settings.routing.max_attempts == 3
     fourth = started()
-    assert fourth.restored() == (own, NOTHING) and "ended under it 3 times" in said[-1]
+    assert fourth.restore() == (own, NOTHING) and "ended under it 3 times" in said[-1]
     assert fourth.follower.refused == 7
-    fourth.offered(made(7, {"routing": {"max_attempts": 3}}, "rule", 2, "s"))  # told again: it does not try again
+    fourth.apply_document(
+        made(7, {"routing": {"max_attempts": 3}}, "rule", 2, "s")
+    )  # told again: it does not try again
     assert fourth.follower.running is NOTHING
-    fourth.offered(document(8, term=2))
+    fourth.apply_document(document(8, term=2))
     assert fourth.follower.running.number == 8 and not fourth.follower.poison
-    assert started().restored()[1].number == 8  # its starts are counted anew
+    assert started().restore()[1].number == 8  # its starts are counted anew
     fourth._lasted()
-    assert started().restored()[1].number == 8 and not said[-1].startswith("version 8 is turned down")
+    assert started().restore()[1].number == 8 and not said[-1].startswith("version 8 is turned down")
 
 
 def test_a_permit_is_good_only_once_the_version_that_came_with_it_is_in_force() -> None:
@@ -114,9 +117,9 @@
     control = {"url": "http://127.0.0.1:9", "steps_out": True}
     own = parse(json.dumps(raw_settings("http://127.0.0.1:9/x", control=control)))
     refused: list[str] = []
-    node = Controlled(own, "n", "b", None, take=lambda settings, taken: refused.append(node.refusal()),
-                      counts=lambda: (0, 0), acting=lambda: "", restart=lambda: None, log=lambda text: None,
-                      draw=random.Random(1))  # fmt: skip
+    node = ControlFollower(own, "n", "b", None, apply_settings=lambda settings, taken: refused.append(node.refusal()),
+                           request_counts=lambda: (0, 0), acting_digest=lambda: "", restart=lambda: None,
+                           log=lambda text: None, rng=random.Random(1))  # fmt: skip
     node._follow(Answer(permit_ms=60_000, steps_out=True, document=document(1)), time.monotonic_ns())
     assert refused == ["it has no permit yet: the control service does not answer"]
     assert node.refusal() == "" and node.follower.running.number == 1
--- a/tests/test_steps.py
+++ b/tests/test_gradual_changes.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from stonetrack.api import ServerEntry, ServerState
-from stonetrack.bootstrap.steps import CONFIRM, FEW, SECOND, Pace, Steps
+from stonetrack.bootstrap.gradual_changes import CONFIRM_DELAY_NS, SECOND, SMALL_CHANGE, GradualServerList, StepSettings
 
 NONE: frozenset[str] = frozenset()
 
@@ -21,19 +21,19 @@
 
 
 def test_the_first_list_comes_whole_and_a_small_change_at_once() -> None:
-    steps = Steps(Pace())
-    steps.aim(some("r", 400), NONE, 0)
-    assert len(steps.in_force) == 400 and not steps.under_way
-    steps.aim(some("r", 400) | some("w", FEW), NONE, 1)
-    assert len(steps.in_force) == 408 and not steps.under_way
+    steps = GradualServerList(StepSettings())
+    steps.set_target(some("r", 400), NONE, 0)
+    assert len(steps.in_force) == 400 and not steps.in_progress
+    steps.set_target(some("r", 400) | some("w", SMALL_CHANGE), NONE, 1)
+    assert len(steps.in_force) == 408 and not steps.in_progress
 
 
 def test_many_new_engines_come_in_steps_in_the_lists_order() -> None:
-    steps = Steps(Pace())
-    steps.aim(some("r", 40), NONE, 0)
-    steps.aim(some("r", 440), NONE, SECOND)
+    steps = GradualServerList(StepSettings())
+    steps.set_target(some("r", 40), NONE, 0)
+    steps.set_target(some("r", 440), NONE, SECOND)
     counts, now = [len(steps.in_force)], SECOND
-    assert steps.waiting == 390 and not steps.tick(now)
+    assert steps.pending_additions == 390 and not steps.tick(now)
     while (due := steps.due()) is not None:
         assert due == now + SECOND
         now = due
@@ -41,42 +41,42 @@
         counts.append(len(steps.in_force))
         assert set(steps.in_force) == set(some("r", counts[-1]))
     assert counts[-1] == 440 and all(b <= a * 1.25 + 1 for a, b in zip(counts, counts[1:], strict=False))
-    whole = Steps(Pace(share=0.0))
-    whole.aim(some("r", 40), NONE, 0)
-    whole.aim(some("r", 440), NONE, 1)
+    whole = GradualServerList(StepSettings(added_share=0.0))
+    whole.set_target(some("r", 40), NONE, 0)
+    whole.set_target(some("r", 440), NONE, 1)
     assert len(whole.in_force) == 440
 
 
 def test_a_list_without_its_engines_waits_to_be_confirmed() -> None:
-    steps = Steps(Pace())
-    steps.aim(some("r", 20) | some("w", 20), NONE, 0)
-    steps.aim(some("w", 20), NONE, 1)
-    assert steps.held == 20 and len(steps.in_force) == 40
-    steps.aim(some("w", 20), NONE, 2)  # the same again, too soon to be another's word
-    assert steps.held == 20 and not steps.confirmed(CONFIRM)
-    assert steps.confirmed(CONFIRM + 1) and set(steps.in_force) == set(some("w", 20)) and not steps.under_way
-    again = Steps(Pace())
-    again.aim(some("r", 20), NONE, 0)
-    again.aim({}, NONE, 1)
-    again.aim(some("r", 20), NONE, 2)  # the service found its list again
-    assert len(again.in_force) == 20 and not again.under_way
+    steps = GradualServerList(StepSettings())
+    steps.set_target(some("r", 20) | some("w", 20), NONE, 0)
+    steps.set_target(some("w", 20), NONE, 1)
+    assert steps.unconfirmed_removals == 20 and len(steps.in_force) == 40
+    steps.set_target(some("w", 20), NONE, 2)  # the same again, too soon to be another's word
+    assert steps.unconfirmed_removals == 20 and not steps.confirmed(CONFIRM_DELAY_NS)
+    assert steps.confirmed(CONFIRM_DELAY_NS + 1) and set(steps.in_force) == set(some("w", 20)) and not steps.in_progress
+    again = GradualServerList(StepSettings())
+    again.set_target(some("r", 20), NONE, 0)
+    again.set_target({}, NONE, 1)
+    again.set_target(some("r", 20), NONE, 2)  # the service found its list again
+    assert len(again.in_force) == 20 and not again.in_progress
 
 
 def test_what_was_told_to_leave_leaves_at_once_and_so_do_a_few() -> None:
-    steps = Steps(Pace())
-    steps.aim(some("r", 40), NONE, 0)
-    steps.aim(some("r", 10, 30), frozenset(some("r", 30)), 1)
+    steps = GradualServerList(StepSettings())
+    steps.set_target(some("r", 40), NONE, 0)
+    steps.set_target(some("r", 10, 30), frozenset(some("r", 30)), 1)
     assert set(steps.in_force) == set(some("r", 10, 30))
-    steps = Steps(Pace())
-    steps.aim(some("r", 40), NONE, 0)
+    steps = GradualServerList(StepSettings())
+    steps.set_target(some("r", 40), NONE, 0)
     draining = {**some("r", 40), **entries(*some("r", 30), state=ServerState.DRAINING)}
-    steps.aim(draining, NONE, 1)
+    steps.set_target(draining, NONE, 1)
     assert sum(e.state is ServerState.DRAINING for e in steps.in_force.values()) == 30
-    steps.aim(some("r", 10, 30), NONE, 2)
-    assert len(steps.in_force) == 10 and not steps.under_way
-    few = Steps(Pace())
-    few.aim(some("r", FEW), NONE, 0)
-    few.aim({}, NONE, 1)
+    steps.set_target(some("r", 10, 30), NONE, 2)
+    assert len(steps.in_force) == 10 and not steps.in_progress
+    few = GradualServerList(StepSettings())
+    few.set_target(some("r", SMALL_CHANGE), NONE, 0)
+    few.set_target({}, NONE, 1)
     assert not few.in_force
 
 
@@ -85,21 +85,23 @@
 def test_in_the_end_the_list_is_in_force_and_a_leaving_engine_never_waits(
     history: list[tuple[set[int], bool, int]],
 ) -> None:
-    steps, now = Steps(Pace()), 0
+    steps, now = GradualServerList(StepSettings()), 0
     for names, drains, wait in history:
         target = entries(*(f"r{n}" for n in sorted(names)))
         if drains:
             target |= {n: entries(n, state=ServerState.DRAINING)[n] for n in list(target)[::2]}
-        steps.aim(target, NONE, now)
+        steps.set_target(target, NONE, now)
         for name, entry in steps.in_force.items():
             assert target.get(name, entry) == entry  # never an older line than the list's
         missing = {n for n in target if n not in steps.in_force}
-        assert steps.waiting == len(missing) and steps.held == len(set(steps.in_force) - set(target))
+        assert steps.pending_additions == len(missing) and steps.unconfirmed_removals == len(
+            set(steps.in_force) - set(target)
+        )
         now += wait * SECOND
         steps.tick(now)
     for _ in range(60):
-        now += CONFIRM
+        now += CONFIRM_DELAY_NS
         steps.tick(now)
         steps.confirmed(now)
     if history:
-        assert steps.in_force == steps._target and not steps.under_way
+        assert steps.in_force == steps._target and not steps.in_progress
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -102,7 +102,7 @@
     "controller/publishing.py", "controller/rolling.py", "controller/checking.py",
     "engines/failure_hints.py", "control/documents.py", "control/follow.py", "control/history.py", "control/rollout.py",
     "control/settings.py", "control/explore.py", "control/stale_nodes.py", "control/wire.py",
-    "daemon/places.py", "engines/idle_timeouts.py", "controller/retaining.py",
+    "daemon/stable_positions.py", "engines/idle_timeouts.py", "controller/retaining.py",
     "controller/settings.py", "fleet/shape.py",
     "fleet/script.py", "fleet/model.py", "fleet/judge.py", "fleet/serving.py", "fleet/faulted.py",
     "frontend/answers.py", "frontend/classify.py", "frontend/auth.py", "frontend/errors.py",
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 from stonetrack.api import Role
 from stonetrack.capture.history import Reading
 from stonetrack.capture.replay import run
-from stonetrack.daemon.places import Places
+from stonetrack.daemon.stable_positions import StablePositions
 from stonetrack.logic import MS, SECOND, Router
 from stonetrack.settings import parse
 from tests.harness import Client, chat, harness, raw_settings, wait_for
@@ -63,19 +63,23 @@
         tenants = tuple(api.Tenant(name, worth) for name in names)
         return replace(SETTINGS, classes=tuple(replace(CLASS, name=n, worth=worth) for n in names), tenants=tenants)
 
-    places = Places(settings(versions[0], 1.0))
+    positions = StablePositions(settings(versions[0], 1.0))
     seen: dict[str, int] = {}
     for n, names in enumerate(versions):
         told = settings(names, float(n + 1))
-        before = places.settings
-        assert places.gone(told) == [f"{what} {c.name}" for what, those in (("class", before.classes),
+        before = positions.settings
+        assert positions.removed_names(told) == [f"{what} {c.name}" for what, those in (("class", before.classes),
                                      ("tenant", before.tenants)) for c in those if c.name not in names]  # fmt: skip
-        places.settings = places.laid_out(told)
+        positions.settings = positions.arrange(told)
         for name in names:
-            assert places.class_at(name) == places.tenant_at(name) == seen.setdefault(name, places.class_at(name))
-            assert places.settings.classes[seen[name]].worth == n + 1
+            assert (
+                positions.class_index(name)
+                == positions.tenant_index(name)
+                == seen.setdefault(name, positions.class_index(name))
+            )
+            assert positions.settings.classes[seen[name]].worth == n + 1
     with pytest.raises(KeyError):
-        places.class_at("never")
+        positions.class_index("never")
 
 
 def test_running_request_completes_after_its_class_was_removed() -> None:
--- a/tests/test_two_customers.py
+++ b/tests/test_two_customers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from stonetrack import api
-from stonetrack.daemon.places import Places
+from stonetrack.daemon.stable_positions import StablePositions
 from stonetrack.edge import requests
 from stonetrack.edge.config import parse as parse_edge
 from stonetrack.edge.engines import build_request
@@ -98,11 +98,11 @@
     """Guards against a removed class of utility 9: the remaining class was valued at a ninth and refused early."""
     base = SETTINGS.classes[0]
     valuable, plain = replace(base, name="dear", worth=9.0), replace(base, name="plain")
-    places = Places(replace(SETTINGS, classes=(valuable, plain)))
-    laid = places.laid_out(replace(SETTINGS, classes=(plain,)))
+    positions = StablePositions(replace(SETTINGS, classes=(valuable, plain)))
+    laid = positions.arrange(replace(SETTINGS, classes=(plain,)))
     assert [(c.name, c.worth) for c in laid.classes] == [("dear", 0.0), ("plain", 1.0)]
-    assert not places.another_deployment(replace(SETTINGS, classes=(plain,)))
-    assert places.another_deployment(replace(SETTINGS, classes=(replace(base, name="other"),)))
+    assert not positions.is_different_deployment(replace(SETTINGS, classes=(plain,)))
+    assert positions.is_different_deployment(replace(SETTINGS, classes=(replace(base, name="other"),)))
 
 
 def test_classes_without_utility_are_served() -> None:
