--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -541,15 +541,15 @@
         yield instance_metrics.counters("actions", "Actions the router decided", "action", dict(current.core.actions))
         if current.recorder is not None:
             yield instance_metrics.counters("capture_records", "Calls of the router, by what became of them", "what",
-                                            {"written": current.recorder.written, "lost": current.recorder.lost})  # fmt: skip
+                {"written": current.recorder.written, "lost": current.recorder.lost})  # fmt: skip
         yield instance_metrics.counters("list_questions", "Questions to the list service, by how they ended", "how",
-                                        dict(self._source.poll_results))  # fmt: skip
+            dict(self._source.poll_results))  # fmt: skip
         steps = self._source.gradual_list
         yield instance_metrics.gauges("list_pending", "Engines of the list that are not yet as it says", "what",
-                                      {"new": float(steps.pending_additions), "gone": float(steps.unconfirmed_removals)})  # fmt: skip
+            {"new": float(steps.pending_additions), "gone": float(steps.unconfirmed_removals)})  # fmt: skip
         yield instance_metrics.gauge("list_version", "Version of the server list in force", self._listing.version)
         yield instance_metrics.gauges("stage", "Where the process stands, 1 for its stage", "stage",
-                                      {stage.value: float(stage is self._readiness.stage) for stage in Stage})  # fmt: skip
+            {stage.value: float(stage is self._readiness.stage) for stage in Stage})  # fmt: skip
         states = Counter(line.state.value for line in self._listing.entries.values())
         yield instance_metrics.gauges(
             "engines", "Engines in the list", "state", {k: float(v) for k, v in states.items()}
