--- a/benchmarks/election.py
+++ b/benchmarks/election.py
@@ -22,7 +22,7 @@
 
 import click
 
-from stonetrack.election.explore import Bounds, Less, drawn, explore
+from stonetrack.election.model_checker import Bounds, Omitted, explore, sequence_diagram
 from stonetrack.fleet import owners
 from stonetrack.fleet.rig import LISTS_LOG, Played, play
 from stonetrack.fleet.script import parse_script
@@ -179,28 +179,28 @@
 @click.option("--states", default=3_000_000)
 def all_histories(states: int) -> None:
     """All histories within larger bounds than the tests', and a shortest one for each protection left out."""
-    small = Bounds(lost=0, restarts=0, states=states)
+    small = Bounds(lost_answers=0, restarts=0, max_states=states)
     for name, bounds in (
         ("lease alone, 6 ticks", replace(small, steps=0)),
-        ("lease alone, an answer lost, 5 ticks", replace(small, steps=0, ticks=5, lost=1)),
+        ("lease alone, an answer lost, 5 ticks", replace(small, steps=0, ticks=5, lost_answers=1)),
         ("one step, 6 ticks", replace(small, steps=1)),
         ("two steps, 5 ticks", replace(small, ticks=5)),
         ("one step, a receiver restarts, 5 ticks", replace(small, ticks=5, steps=1, restarts=1)),
-        ("one step, the register loses a write, 4 ticks", replace(small, ticks=4, steps=1, back=1)),
+        ("one step, the register loses a write, 4 ticks", replace(small, ticks=4, steps=1, rollbacks=1)),
     ):
         began = time.time()
         found = explore(bounds)
-        whole = "all" if found.whole else "not all"
+        whole = "all" if found.complete else "not all"
         click.echo(
-            f"{name}: {found.states} states ({whole}) in {time.time() - began:.0f} s, broken: {found.broken or 'none'}"
+            f"{name}: {found.states} states ({whole}) in {time.time() - began:.0f} s, broken: {found.violation or 'none'}"
         )
     for less, bounds in (
-        (Less.FENCE, small), (Less.MARGIN, small), (Less.BEFORE, small), (Less.SECOND_LOOK, small),
-        (Less.DURABLE, replace(small, restarts=1)), (Less.CLAIM, replace(small, back=1)),
+        (Omitted.FENCE, small), (Omitted.MARGIN, small), (Omitted.BEFORE, small), (Omitted.SECOND_LOOK, small),
+        (Omitted.DURABLE, replace(small, restarts=1)), (Omitted.CLAIM, replace(small, rollbacks=1)),
     ):  # fmt: skip
         found = explore(bounds, less)
         click.echo(
-            f"\nwithout {less.name}: {found.states} states, {len(found.history)} steps\n{drawn(found, bounds.owners)}"
+            f"\nwithout {less.name}: {found.states} states, {len(found.history)} steps\n{sequence_diagram(found, bounds.candidates)}"
         )
 
 
--- a/benchmarks/shutout.py
+++ b/benchmarks/shutout.py
@@ -11,7 +11,7 @@
 import click
 
 from stonetrack.control.explore import Bounds, Less, explore
-from stonetrack.election.search import Found
+from stonetrack.election.breadth_first import SearchResult
 
 CASES = [
     ("two nodes", Bounds(restarts=0, given_up=0), Less.NOTHING),
@@ -25,7 +25,7 @@
 ]
 
 
-def one(case: tuple[Bounds, Less]) -> tuple[Found, float]:
+def one(case: tuple[Bounds, Less]) -> tuple[SearchResult, float]:
     """What came of a case, and the seconds that it took."""
     began = time.monotonic()
     return explore(*case), time.monotonic() - began
@@ -39,8 +39,8 @@
     cases = [(Bounds(b.nodes, b.restarts, b.given_up, b.publishes, states), less) for _, b, less in CASES]
     with ProcessPoolExecutor(cores) as pool:
         for (name, *_), (found, took) in zip(CASES, pool.map(one, cases), strict=True):
-            whole = "all" if found.whole else "not all"
-            click.echo(f"{name}: {found.states} states ({whole}) in {took:.0f} s, broken: {found.broken or 'none'}")
+            whole = "all" if found.complete else "not all"
+            click.echo(f"{name}: {found.states} states ({whole}) in {took:.0f} s, broken: {found.violation or 'none'}")
             for n, said in enumerate(found.history, 1):
                 click.echo(f"  {n}. {said}")
 
--- a/stonetrack/cas_store/embedded.py
+++ b/stonetrack/cas_store/embedded.py
@@ -14,14 +14,14 @@
 
 import lmdb
 
-from stonetrack.cas_store.ports import NONE, Entry, RegisterError, Unknown, checked
+from stonetrack.cas_store.ports import NO_ENTRY, Entry, StoreError, UnknownOutcome, checked_key
 
 _COUNT = b"\x00count"
 LOOK = 0.05  # seconds between two looks of who follows
 
 
-class Embedded:
-    """See the module.  Raises RegisterError where the folder can't be used."""
+class EmbeddedStore:
+    """See the module.  Raises StoreError where the folder can't be used."""
 
     def __init__(self, folder: Path, most_bytes: int = 64 << 20) -> None:
         self._closing, self._closed = threading.Lock(), False
@@ -30,23 +30,23 @@
             self._store = lmdb.open(str(folder), map_size=most_bytes, max_readers=512, subdir=True)
             self._store.reader_check()
         except (OSError, lmdb.Error) as error:
-            raise RegisterError(f"{folder}: {error}") from None
+            raise StoreError(f"{folder}: {error}") from None
 
     def read(self, key: str) -> Entry:
-        """See ``ports.Register``."""
+        """See ``ports.CasStore``."""
         try:
             with self._store.begin() as view:
-                return _entry(view.get(checked(key)))
+                return _entry(view.get(checked_key(key)))
         except lmdb.Error as error:
-            raise RegisterError(str(error)) from None
+            raise StoreError(str(error)) from None
 
-    def swap(self, key: str, revision: int, value: bytes) -> int | None:
-        """See ``ports.Register``."""
-        raw = checked(key, value)
+    def compare_and_set(self, key: str, revision: int, value: bytes) -> int | None:
+        """See ``ports.CasStore``."""
+        raw = checked_key(key, value)
         try:
             change = self._store.begin(write=True)
         except lmdb.Error as error:
-            raise RegisterError(str(error)) from None
+            raise StoreError(str(error)) from None
         try:
             if _entry(change.get(raw)).revision != revision:
                 change.abort()
@@ -56,16 +56,16 @@
             change.put(raw, new.to_bytes(8, "big") + value)
         except lmdb.Error as error:
             change.abort()
-            raise RegisterError(str(error)) from None
+            raise StoreError(str(error)) from None
         try:
             change.commit()
         except lmdb.Error as error:  # what the disk holds of it is not known: it may have been written
-            raise Unknown(str(error)) from None
+            raise UnknownOutcome(str(error)) from None
         return new
 
     def keys(self, prefix: str) -> list[str]:
-        """See ``ports.Register``."""
-        raw = checked(prefix)
+        """See ``ports.CasStore``."""
+        raw = checked_key(prefix)
         found = []
         try:
             with self._store.begin() as view, view.cursor() as cursor:
@@ -75,11 +75,11 @@
                             break
                         found.append(bytes(key).decode())
         except lmdb.Error as error:
-            raise RegisterError(str(error)) from None
+            raise StoreError(str(error)) from None
         return found
 
-    def follow(self, key: str, revision: int, seconds: float, tell: Callable[[Entry], bool]) -> None:
-        """See ``ports.Register``: looks now and then, since LMDB tells nobody; a look is a read of mapped memory."""
+    def watch(self, key: str, revision: int, seconds: float, tell: Callable[[Entry], bool]) -> None:
+        """See ``ports.CasStore``: looks now and then, since LMDB tells nobody; a look is a read of mapped memory."""
         end = time.monotonic() + seconds
         while (left := end - time.monotonic()) > 0:
             with self._closing:
@@ -93,11 +93,11 @@
             time.sleep(min(LOOK, left))
 
     def close(self) -> None:
-        """See ``ports.Register``."""
+        """See ``ports.CasStore``."""
         with self._closing:
             self._closed = True
             self._store.close()
 
 
 def _entry(raw: bytes | None) -> Entry:
-    return NONE if raw is None else Entry(bytes(raw[8:]), int.from_bytes(raw[:8], "big"))
+    return NO_ENTRY if raw is None else Entry(bytes(raw[8:]), int.from_bytes(raw[:8], "big"))
--- a/stonetrack/cas_store/etcd.py
+++ b/stonetrack/cas_store/etcd.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from stonetrack import api
-from stonetrack.cas_store.ports import NONE, Entry, RegisterError, Unknown, checked
+from stonetrack.cas_store.ports import NO_ENTRY, Entry, StoreError, UnknownOutcome, checked_key
 from stonetrack.engines import calls
 from stonetrack.engines.calls import CallFailed
 from stonetrack.node.sockets import connect
@@ -84,19 +84,19 @@
 
 def range_request(key: str) -> dict[str, Any]:
     """The body that reads one key, by the leader's word (linearizable is the default)."""
-    return {"key": b64(checked(key))}
+    return {"key": b64(checked_key(key))}
 
 
 def prefix_request(prefix: str) -> dict[str, Any]:
     """The body that reads the keys that begin so, without values."""
-    raw = checked(prefix)
+    raw = checked_key(prefix)
     end = raw[:-1] + bytes([raw[-1] + 1])  # a prefix ends in an ASCII character
     return {"key": b64(raw), "range_end": b64(end), "keys_only": True, "sort_order": "ASCEND", "sort_target": "KEY"}
 
 
 def swap_request(key: str, revision: int, value: bytes) -> dict[str, Any]:
     """The body of a compare-and-set."""
-    raw = b64(checked(key, value))
+    raw = b64(checked_key(key, value))
     found = ({"target": "MOD", "mod_revision": str(revision)} if revision
              else {"target": "CREATE", "create_revision": "0"})  # fmt: skip
     return {
@@ -107,27 +107,27 @@
 
 
 def entry_of(body: bytes) -> Entry:
-    """The entry that a range answers.  Raises RegisterError."""
+    """The entry that a range answers.  Raises StoreError."""
     kvs = _decode(body, _Range).kvs
-    return entry(kvs[0]) if kvs else NONE
+    return entry(kvs[0]) if kvs else NO_ENTRY
 
 
 def entry(kv: Kv) -> Entry:
-    """An entry.  Raises RegisterError."""
+    """An entry.  Raises StoreError."""
     try:
         return Entry(base64.b64decode(kv.value, validate=True), int(kv.mod_revision))
     except ValueError as error:
-        raise RegisterError(f"etcd: a key that can't be read: {error}") from None
+        raise StoreError(f"etcd: a key that can't be read: {error}") from None
 
 
 def _decode(body: bytes, kind: type[T]) -> T:
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.DecodeError as error:
-        raise RegisterError(f"etcd: {error}") from None
+        raise StoreError(f"etcd: {error}") from None
 
 
-class Etcd:
+class EtcdStore:
     """The host.  ``endpoints`` are ``host:port``; ``timeout`` is seconds without a byte."""
 
     def __init__(self, endpoints: tuple[str, ...], timeout: float = 1.0) -> None:
@@ -135,17 +135,17 @@
         self._timeout = timeout
 
     def read(self, key: str) -> Entry:
-        """See ``ports.Register``."""
+        """See ``ports.CasStore``."""
         return self._any(lambda at: entry_of(self._call(at, "/v3/kv/range", range_request(key))))
 
     def keys(self, prefix: str) -> list[str]:
-        """See ``ports.Register``."""
+        """See ``ports.CasStore``."""
         asked = prefix_request(prefix)
         body = self._any(lambda at: self._call(at, "/v3/kv/range", asked))
         return [base64.b64decode(kv.key).decode() for kv in _decode(body, _Range).kvs]
 
-    def swap(self, key: str, revision: int, value: bytes) -> int | None:
-        """See ``ports.Register``."""
+    def compare_and_set(self, key: str, revision: int, value: bytes) -> int | None:
+        """See ``ports.CasStore``."""
         asked = swap_request(key, revision, value)
         told = self._any(lambda at: _decode(self._call(at, "/v3/kv/txn", asked, write=True), _Txn))
         return int(told.header.revision) if told.succeeded else None
@@ -155,13 +155,13 @@
         for n, at in enumerate(list(self._endpoints)):
             try:
                 return ask(at)
-            except Unknown:
+            except UnknownOutcome:
                 raise
-            except RegisterError:
+            except StoreError:
                 if n == len(self._endpoints) - 1:
                     raise
                 self._endpoints = [*self._endpoints[1:], self._endpoints[0]]
-        raise RegisterError("etcd: no endpoint is given")
+        raise StoreError("etcd: no endpoint is given")
 
     def _call(self, at: tuple[str, int], path: str, body: dict[str, Any], write: bool = False) -> bytes:
         request = writer.request("POST", path, _headers(at), msgspec.json.encode(body))
@@ -169,20 +169,20 @@
             status, data = calls.call(*at, request, self._timeout, _LIMITS)
         except CallFailed as error:
             if write and error.outcome is not api.Outcome.CONNECT_FAILED:
-                raise Unknown(f"etcd: {error}") from None
-            raise RegisterError(f"etcd: {error}") from None
+                raise UnknownOutcome(f"etcd: {error}") from None
+            raise StoreError(f"etcd: {error}") from None
         if status == 200:
             return data
-        with contextlib.suppress(RegisterError):
+        with contextlib.suppress(StoreError):
             told = _decode(data, _Trouble)
             data = (told.message or told.error).encode()
         text = f"etcd at {at[0]}:{at[1]}: {status}: {data[:200].decode('utf-8', 'replace')}"
         # A request that timed out within the cluster (no leader, a slow disk) may still be carried out.
-        raise Unknown(text) if write and status >= 500 else RegisterError(text)
+        raise UnknownOutcome(text) if write and status >= 500 else StoreError(text)
 
-    def follow(self, key: str, revision: int, seconds: float, tell: Callable[[Entry], bool]) -> None:
-        """See ``ports.Register``."""
-        body = {"create_request": {"key": b64(checked(key)), "start_revision": str(revision + 1)}}
+    def watch(self, key: str, revision: int, seconds: float, tell: Callable[[Entry], bool]) -> None:
+        """See ``ports.CasStore``."""
+        body = {"create_request": {"key": b64(checked_key(key)), "start_revision": str(revision + 1)}}
         at = self._endpoints[0]
         request = writer.request("POST", "/v3/watch", _headers(at), msgspec.json.encode(body))
         end = time.monotonic() + seconds
@@ -202,14 +202,14 @@
         except TimeoutError:
             return
         except (OSError, ProtocolError) as error:
-            raise RegisterError(f"etcd: {error}") from None
+            raise StoreError(f"etcd: {error}") from None
 
     def close(self) -> None:
-        """See ``ports.Register``."""
+        """See ``ports.CasStore``."""
 
 
 def _told(line: bytes, tell: Callable[[Entry], bool]) -> bool:
-    """Tell of one line of a watch's stream; whether to go on.  Raises RegisterError."""
+    """Tell of one line of a watch's stream; whether to go on.  Raises StoreError."""
     said = _decode(line, _Watched).result
     for event in said.events:
         if event.type == "DELETE" or not tell(entry(event.kv)):
--- a/stonetrack/cas_store/ports.py
+++ b/stonetrack/cas_store/ports.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-MOST_KEY, MOST_VALUE = 400, 1 << 20  # bytes
+MAX_KEY_BYTES, MAX_VALUE_BYTES = 400, 1 << 20  # bytes
 
 
-class RegisterError(Exception):
+class StoreError(Exception):
     """The register does not do what was asked; nothing was written."""
 
 
-class Unknown(RegisterError):
+class UnknownOutcome(StoreError):
     """Nobody knows whether the write was done."""
 
 
@@ -29,36 +29,36 @@
     revision: int
 
 
-NONE = Entry(b"", 0)
+NO_ENTRY = Entry(b"", 0)
 
 
-class Register(Protocol):
+class CasStore(Protocol):
     """One store."""
 
     def read(self, key: str) -> Entry:
-        """What is there now.  Raises RegisterError."""
+        """What is there now.  Raises StoreError."""
 
-    def swap(self, key: str, revision: int, value: bytes) -> int | None:
+    def compare_and_set(self, key: str, revision: int, value: bytes) -> int | None:
         """Write if the key still has this revision (0: if it is not there); the new one, or None where it has another.
 
-        Raises Unknown, RegisterError."""
+        Raises UnknownOutcome, StoreError."""
 
     def keys(self, prefix: str) -> list[str]:
-        """Keys that begin so, in order.  Raises RegisterError."""
+        """Keys that begin so, in order.  Raises StoreError."""
 
-    def follow(self, key: str, revision: int, seconds: float, tell: Callable[[Entry], bool]) -> None:
+    def watch(self, key: str, revision: int, seconds: float, tell: Callable[[Entry], bool]) -> None:
         """Tell of each write of a key after a revision, as it comes, until ``tell`` says that it is enough or for so
         many seconds; early for any reason, and late for any: what is told may have been written over since.  Raises
-        RegisterError."""
+        StoreError."""
 
     def close(self) -> None:
         """Let go of it."""
 
 
-def checked(key: str, value: bytes = b"") -> bytes:
-    """A key as bytes.  Raises RegisterError where key or value are out of bounds."""
+def checked_key(key: str, value: bytes = b"") -> bytes:
+    """A key as bytes.  Raises StoreError where key or value are out of bounds."""
     raw = key.encode()
-    if not 0 < len(raw) <= MOST_KEY or len(value) > MOST_VALUE:
-        sizes = f"{len(raw)} bytes with {len(value)} bytes; at most {MOST_KEY}, {MOST_VALUE}"
-        raise RegisterError(f"key {key[:60]!r} of {sizes}")
+    if not 0 < len(raw) <= MAX_KEY_BYTES or len(value) > MAX_VALUE_BYTES:
+        sizes = f"{len(raw)} bytes with {len(value)} bytes; at most {MAX_KEY_BYTES}, {MAX_VALUE_BYTES}"
+        raise StoreError(f"key {key[:60]!r} of {sizes}")
     return raw
--- a/stonetrack/cli/controller.py
+++ b/stonetrack/cli/controller.py
@@ -15,8 +15,8 @@
 from stonetrack.cli.serve import FILE, LOG, PORT, VAR, open_log, parse_variables, stop_on_signals
 
 if TYPE_CHECKING:
-    from stonetrack.cas_store.ports import Register
-    from stonetrack.controller.settings import Steward
+    from stonetrack.cas_store.ports import CasStore
+    from stonetrack.controller.settings import ControllerSettings
     from stonetrack.election.lease import Record
 
 
@@ -28,7 +28,7 @@
 @contextmanager
 def _plainly(file: Path) -> Iterator[None]:
     """What can't be done, on standard error and as exit code: 2 for settings, 1 for the register."""
-    from stonetrack.cas_store.ports import RegisterError
+    from stonetrack.cas_store.ports import StoreError
     from stonetrack.settings import SettingsError
 
     try:
@@ -36,23 +36,23 @@
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
-    except (RegisterError, OSError, msgspec.MsgspecError) as error:
+    except (StoreError, OSError, msgspec.MsgspecError) as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(1)
 
 
 @contextmanager
-def _register(file: Path, var: tuple[str, ...]) -> Iterator[tuple[Steward, Register]]:
-    from stonetrack.controller.service import opened
-    from stonetrack.controller.settings import load_steward
+def _register(file: Path, var: tuple[str, ...]) -> Iterator[tuple[ControllerSettings, CasStore]]:
+    from stonetrack.controller.service import open_store
+    from stonetrack.controller.settings import load_controller_settings
 
     with _plainly(file):
-        settings = load_steward(file, parse_variables(var))
-        register = opened(settings)
+        settings = load_controller_settings(file, parse_variables(var))
+        store = open_store(settings)
         try:
-            yield settings, register
+            yield settings, store
         finally:
-            register.close()
+            store.close()
 
 
 @steward.command("run")
@@ -62,15 +62,15 @@
 @LOG
 def run(file: Path, var: tuple[str, ...], port: int | None, log_path: Path | None) -> None:
     """Be a candidate, and do the work while owner, until TERM; then hand over."""
-    from stonetrack.controller.service import Port, Steward
+    from stonetrack.controller.service import Controller, HttpEndpoint
     from stonetrack.frontend.host import listen
 
     stop = stop_on_signals()
-    with _register(file, var) as (settings, register):
+    with _register(file, var) as (settings, store):
         listener = listen(settings.listen.host, settings.listen.port if port is None else port, settings.listen.backlog)
         log = open_log(log_path, settings.log_level)
-        running = Steward(settings, register, log.info)
-        serving = Port(running, listener, log.info)
+        running = Controller(settings, store, log.info)
+        serving = HttpEndpoint(running, listener, log.info)
         serving.start()
         running.start()
         click.echo(f"ready http://{settings.listen.host}:{listener.getsockname()[1]}")
@@ -80,11 +80,11 @@
         serving.stop()
 
 
-def _record(settings: Steward, register: Register) -> Record | None:
-    from stonetrack.controller.service import key_of
+def _record(settings: ControllerSettings, store: CasStore) -> Record | None:
+    from stonetrack.controller.service import store_key
     from stonetrack.election.lease import Record
 
-    entry = register.read(key_of(settings.fleet, "owner"))
+    entry = store.read(store_key(settings.fleet, "owner"))
     return msgspec.json.decode(entry.value, type=Record) if entry.revision else None
 
 
@@ -93,8 +93,8 @@
 @VAR
 def who(file: Path, var: tuple[str, ...]) -> None:
     """Who owns the work by the register, and whether it still renews (two looks, a lease apart at most)."""
-    with _register(file, var) as (settings, register):
-        first = _record(settings, register)
+    with _register(file, var) as (settings, store):
+        first = _record(settings, store)
         if first is None:
             click.echo(f"fleet {settings.fleet}: nobody ever owned it")
             return
@@ -102,7 +102,7 @@
         alive = False
         while first.owner and not alive and time.monotonic() < end:
             time.sleep(min(0.2, settings.lease_s / 10))
-            now = _record(settings, register)
+            now = _record(settings, store)
             alive = now is not None and (now.term, now.beats) != (first.term, first.beats)
             first = now or first
         paused = f", paused: {first.paused}" if first.paused else ""
@@ -118,12 +118,12 @@
 @VAR
 def ls(file: Path, var: tuple[str, ...]) -> None:
     """All that the register holds of the fleet, a line a key."""
-    from stonetrack.controller.service import key_of
+    from stonetrack.controller.service import store_key
 
-    with _register(file, var) as (settings, register):
-        prefix = key_of(settings.fleet, "")
-        for key in register.keys(prefix):
-            entry = register.read(key)
+    with _register(file, var) as (settings, store):
+        prefix = store_key(settings.fleet, "")
+        for key in store.keys(prefix):
+            entry = store.read(key)
             click.echo(f"{key.removeprefix(prefix):<24} revision {entry.revision:<8} {len(entry.value)} bytes")
 
 
@@ -132,13 +132,13 @@
 @VAR
 def jobs(file: Path, var: tuple[str, ...]) -> None:
     """Each job's journal: steps done, the one that was begun, its state."""
-    from stonetrack.controller.jobs import Noted
-    from stonetrack.controller.service import key_of
+    from stonetrack.controller.jobs import JournalEntry
+    from stonetrack.controller.service import store_key
 
-    with _register(file, var) as (settings, register):
-        prefix = key_of(settings.fleet, "job/")
-        for key in register.keys(prefix):
-            noted = msgspec.json.decode(register.read(key).value, type=Noted)
+    with _register(file, var) as (settings, store):
+        prefix = store_key(settings.fleet, "job/")
+        for key in store.keys(prefix):
+            noted = msgspec.json.decode(store.read(key).value, type=JournalEntry)
             begun = f", begun: {noted.begun.what}" if noted.begun is not None else ""
             name = key.removeprefix(prefix)
             click.echo(f"{name}: {noted.number} steps done, term {noted.term} of {noted.owner}{begun}")
@@ -150,10 +150,10 @@
 @VAR
 def history(file: Path, var: tuple[str, ...]) -> None:
     """Who took over when, oldest first."""
-    from stonetrack.controller.service import history as takings
+    from stonetrack.controller.service import acquisitions
 
-    with _register(file, var) as (settings, register):
-        for line in takings(register, settings.fleet)[0]:
+    with _register(file, var) as (settings, store):
+        for line in acquisitions(store, settings.fleet)[0]:
             when = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(line.at))
             click.echo(f"{when}Z  term {line.term:<6} {line.owner}")
 
@@ -161,10 +161,10 @@
 def _change(
     file: Path, var: tuple[str, ...], change: Callable[[Record], Record], said: Callable[[Record], str]
 ) -> None:
-    from stonetrack.controller.service import rewritten
+    from stonetrack.controller.service import rewrite_record
 
-    with _register(file, var) as (settings, register):
-        click.echo(f"fleet {settings.fleet}: {said(rewritten(register, settings.fleet, change))}")
+    with _register(file, var) as (settings, store):
+        click.echo(f"fleet {settings.fleet}: {said(rewrite_record(store, settings.fleet, change))}")
 
 
 @steward.command("pause")
--- a/stonetrack/cli/serve.py
+++ b/stonetrack/cli/serve.py
@@ -203,8 +203,10 @@
 @LOG
 def lists(file: Path, var: tuple[str, ...], port: int | None, log_path: Path | None) -> None:
     """Run the list service until TERM: it tells all nodes which engines there are."""
-    from stonetrack.discovery.keeping import KeepingError
     from stonetrack.discovery.service import PATH, run
-    from stonetrack.discovery.settings import load_lists
+    from stonetrack.discovery.settings import load_discovery_settings
+    from stonetrack.discovery.state_file import StateFileError
 
-    run_service(file, port, log_path, lambda: load_lists(file, parse_variables(var)), run, KeepingError, PATH)
+    run_service(
+        file, port, log_path, lambda: load_discovery_settings(file, parse_variables(var)), run, StateFileError, PATH
+    )
--- a/stonetrack/control/calls.py
+++ b/stonetrack/control/calls.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from stonetrack.election.fence import HEADER, NOBODY, Token
+from stonetrack.election.fencing import NO_TOKEN, TOKEN_HEADER, Token
 from stonetrack.engines import calls
 from stonetrack.engines.calls import CallFailed
 from stonetrack.engines.server_list import split_address
@@ -16,7 +16,7 @@
 class ControlError(OSError):
     """A call that was not carried out; ``known`` is the latest owner there, for one whose term is over."""
 
-    def __init__(self, text: str, known: Token = NOBODY) -> None:
+    def __init__(self, text: str, known: Token = NO_TOKEN) -> None:
         super().__init__(text)
         self.known = known
 
@@ -29,7 +29,7 @@
     host, port = found
     headers = [("Host", f"{host}:{port}"), ("Connection", "close")]
     if token is not None:
-        headers.append((HEADER, str(token)))
+        headers.append((TOKEN_HEADER, str(token)))
     data = msgspec.json.encode(body) if body is not None else b""
     try:
         status, answer = calls.call(host, port, writer.request(method, path, headers, data), patience)
@@ -37,6 +37,6 @@
     except (CallFailed, msgspec.DecodeError) as error:
         raise ControlError(f"{at}: {error}") from None
     if status != 200:
-        known = msgspec.convert(told["known"], Token) if "known" in told else NOBODY
+        known = msgspec.convert(told["known"], Token) if "known" in told else NO_TOKEN
         raise ControlError(f"{at}: {told.get('error', status)}", known)
     return told
--- a/stonetrack/control/explore.py
+++ b/stonetrack/control/explore.py
@@ -22,7 +22,7 @@
 
 from stonetrack.control.follow import Permit
 from stonetrack.control.stale_nodes import Node, Order, Rules, orders
-from stonetrack.election.search import Found, search
+from stonetrack.election.breadth_first import SearchResult, search
 
 NAMES = ("a", "b", "c")
 RULES = Rules(grace={"rule": 1}, bound={"rule": 1}, silent=3, restart_pause=100, restarts=0, most_out=0.5,
@@ -84,7 +84,7 @@
     given_up: int = 0
 
 
-def explore(bounds: Bounds, less: Less = Less.NOTHING) -> Found:
+def explore(bounds: Bounds, less: Less = Less.NOTHING) -> SearchResult:
     """See the module."""
     first = World(1, (At(),) * bounds.nodes, (None,) * bounds.nodes, (0,) * bounds.nodes, ())
 
--- a/stonetrack/control/service.py
+++ b/stonetrack/control/service.py
@@ -33,7 +33,7 @@
 from stonetrack.control.stale_nodes import Evidence, Node, Order, orders
 from stonetrack.control.wire import Answer, Report
 from stonetrack.durable import save
-from stonetrack.election.fence import HEADER, NOBODY, Fence, Refused, Token, token_of
+from stonetrack.election.fencing import NO_TOKEN, TOKEN_HEADER, Fence, FencingError, Token, parse_token
 from stonetrack.frontend.connection import Connection, HttpRequest
 from stonetrack.frontend.host import Host, plain_response
 from stonetrack.frontend.long_poll import LongPoll
@@ -56,7 +56,7 @@
     candidate: int
     share: float
     first: list[str] = []
-    owner: Token = NOBODY
+    owner: Token = NO_TOKEN
     orders: dict[str, int] = {}  # the last one given, by node that was ever ordered out
 
 
@@ -109,7 +109,7 @@
 
     def _restore(self) -> tuple[History, Token, dict[str, int]]:
         if not self._path.exists():
-            return History(), NOBODY, {}
+            return History(), NO_TOKEN, {}
         try:
             kept = msgspec.json.decode(self._path.read_bytes(), type=_Kept)
             made = versions.restored(kept.documents, kept.base, kept.candidate, kept.share, kept.first)
@@ -137,7 +137,7 @@
     # Versions.
 
     def change(self, token: Token | None, how: Callable[[History], History], what: str) -> History:
-        """Take an owner's effect.  Raises Refused, HistoryError, OSError; then all is as it was."""
+        """Take an owner's effect.  Raises FencingError, HistoryError, OSError; then all is as it was."""
         with self._lock:
             before = self.history
             self._fence.check(token)
@@ -243,7 +243,7 @@
         keep = head.keep_alive and not self._waiting.stopping
         if head.path == "/node" and head.method == "POST":
             return self._node(connection, request, waker, keep)
-        status, body = self._call(head.method, head.path, request.body, head.headers.get(HEADER.lower()))
+        status, body = self._call(head.method, head.path, request.body, head.headers.get(TOKEN_HEADER.lower()))
         kind = "text/plain; version=0.0.4" if head.path == "/metrics" else "application/json"
         connection.write(plain_response(status, body, (), kind, keep))
         return keep
@@ -268,8 +268,8 @@
 
     def _effect(self, path: str, data: bytes, owner: str) -> tuple[int, bytes]:
         try:
-            token = token_of(owner)
-            who = token or NOBODY
+            token = parse_token(owner)
+            who = token or NO_TOKEN
             if path == "/settings":
                 put = msgspec.json.decode(data, type=_Put)
                 after = self.change(
@@ -283,7 +283,7 @@
                 else:
                     after = self.change(
                         token, lambda h: h.rolled_back(asked.number, who.term, who.owner), "rolled back")  # fmt: skip
-        except Refused as error:
+        except FencingError as error:
             self.answers["refused"] += 1
             return 409, msgspec.json.encode({"error": str(error), "known": error.known})
         except HistoryError as error:
--- a/stonetrack/controller/calls.py
+++ b/stonetrack/controller/calls.py
@@ -13,14 +13,14 @@
 from stonetrack.clocks import wall_time
 from stonetrack.control.calls import ControlError
 from stonetrack.control.calls import call as control
-from stonetrack.controller.captures import retained
-from stonetrack.controller.checking import Check, Tally
+from stonetrack.controller.captures import apply_retention
+from stonetrack.controller.health_checks import CheckTally, HealthCheckJob
 from stonetrack.controller.jobs import Facts, Step
-from stonetrack.controller.publishing import Publish
-from stonetrack.controller.retaining import Retain
-from stonetrack.controller.rolling import RollOut
-from stonetrack.controller.settings import Steward as Settings
-from stonetrack.election.fence import HEADER, NOBODY, Token
+from stonetrack.controller.publishing import PublishJob
+from stonetrack.controller.retention import RetentionJob
+from stonetrack.controller.rollout import RolloutJob
+from stonetrack.controller.settings import ControllerSettings
+from stonetrack.election.fencing import NO_TOKEN, TOKEN_HEADER, Token
 from stonetrack.engines import calls
 from stonetrack.engines.calls import CallFailed
 from stonetrack.wire import writer
@@ -28,7 +28,7 @@
 PROBERS = 16  # checks under way at one time
 
 
-class CallRefused(OSError):
+class EffectRefused(OSError):
     """A receiver that knows a later owner."""
 
     def __init__(self, text: str, known: Token) -> None:
@@ -48,10 +48,10 @@
 
 class _Known(msgspec.Struct):
     error: str = ""
-    known: Token = NOBODY
+    known: Token = NO_TOKEN
 
 
-def numbered(folder: str, read: Callable[[Any], dict[str, Any]]) -> tuple[dict[str, Any], ...]:
+def numbered_documents(folder: str, read: Callable[[Any], dict[str, Any]]) -> tuple[dict[str, Any], ...]:
     """What a folder's ``NUMBER.json`` say, in order, each with its number; none where no folder is set.
 
     One that can't be read stops those after it, since order counts."""
@@ -74,9 +74,9 @@
     EFFECTS = {"change": "list service", "check": "list service", "put": "list service", "retain": "captures",
                "publish": "control", "stage": "control", "rollback": "control"}  # fmt: skip
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self, settings: ControllerSettings) -> None:
         self._settings = settings
-        self._tally = Tally(settings.checks.fails)
+        self._tally = CheckTally(settings.checks.fails)
         self._pool = ThreadPoolExecutor(PROBERS, thread_name_prefix="check")
         self._served: tuple[float, float] | None = None  # requests served and asked, at the last look
 
@@ -85,16 +85,16 @@
     def facts(self, at: float, kind: str) -> Facts:
         """What is known now, as far as this kind of job asks for it.  Raises OSError where the list service does not
         say."""
-        if kind == Retain.name:
+        if kind == RetentionJob.name:
             return Facts(at)
-        if kind == RollOut.name:
+        if kind == RolloutJob.name:
             nodes = control(self._settings.control, "GET", "/nodes", patience=self._settings.call_s)
             return Facts(at, versions=self._versions(), nodes=tuple(nodes))
-        if kind == Publish.name:  # alone of all it has something to do where there is no list
+        if kind == PublishJob.name:  # alone of all it has something to do where there is no list
             listed = self._listed()
             return Facts(at, listed.engines, listed.origin, listed.version, self._wanted())
         engines = self._lines()
-        if kind == Check.name:
+        if kind == HealthCheckJob.name:
             return Facts(at, engines, failing=self._checked(engines, wall_time()))  # nodes hold it against their clocks
         return Facts(at, engines, service=self._service())
 
@@ -136,11 +136,11 @@
 
     def _wanted(self) -> tuple[dict[str, Any], ...]:
         """The lists that are to be published."""
-        return numbered(self._settings.publish, lambda told: {"engines": told["engines"]})
+        return numbered_documents(self._settings.publish, lambda told: {"engines": told["engines"]})
 
     def _versions(self) -> tuple[dict[str, Any], ...]:
         """The versions that are to be rolled out."""
-        return numbered(
+        return numbered_documents(
             self._settings.rollout.folder, lambda told: {"content": told["content"], "kind": told.get("kind", "rule")}
         )
 
@@ -167,10 +167,10 @@
     # Effects.
 
     def carry_out(self, step: Step, token: Token, away: tuple[str, ...] = ()) -> dict[str, Any]:
-        """One effect; engines ``away`` stay told as leaving.  Raises CallRefused, election.fence.Refused, OSError."""
+        """One effect; engines ``away`` stay told as leaving.  Raises EffectRefused, FencingError, OSError."""
         args = step.args
         if step.what == "retain":
-            return {"deleted": len(retained(Path(args["folder"]), args["budget"], token))}
+            return {"deleted": len(apply_retention(Path(args["folder"]), args["budget"], token))}
         if self.EFFECTS[step.what] == "control":
             return self._control(step, token)
         if step.what in ("change", "check"):
@@ -189,13 +189,13 @@
         status, body = self._call(method, msgspec.json.encode({"engines": lines}), token)
         if status == 409:
             told = msgspec.json.decode(body, type=_Known)
-            raise CallRefused(told.error, told.known)
+            raise EffectRefused(told.error, told.known)
         if status != 200:
             raise CallFailed(f"list service: {status}: {body[:200].decode('utf-8', 'replace')}")
         return dict(msgspec.json.decode(body))
 
     def _control(self, step: Step, token: Token) -> dict[str, Any]:
-        """An effect at the control service.  Raises CallRefused, ControlError."""
+        """An effect at the control service.  Raises EffectRefused, ControlError."""
         method, path = {"publish": ("PUT", "/settings"), "stage": ("POST", "/stage"),
                         "rollback": ("POST", "/rollback")}[step.what]  # fmt: skip
         wanted = ("content", "kind", "share") if step.what == "publish" else ("number", "share")
@@ -204,7 +204,7 @@
             return dict(control(self._settings.control, method, path, body, token, self._settings.call_s))
         except ControlError as error:
             if error.known.term:
-                raise CallRefused(str(error), error.known) from None
+                raise EffectRefused(str(error), error.known) from None
             raise
 
     def _call(self, method: str, body: bytes | None, token: Token | None) -> tuple[int, bytes]:
@@ -212,6 +212,6 @@
         host, _, port = address.rpartition(":")
         headers = [("Host", address), ("Connection", "close")]
         if token is not None:
-            headers.append((HEADER, str(token)))
+            headers.append((TOKEN_HEADER, str(token)))
         request = writer.request(method, f"{slash}{path}" or "/", headers, body)
         return calls.call(host, int(port), request, self._settings.call_s)
--- a/stonetrack/controller/captures.py
+++ b/stonetrack/controller/captures.py
@@ -10,18 +10,18 @@
 
 from stonetrack.capture.recorder import delete_over_budget
 from stonetrack.durable import save
-from stonetrack.election.fence import NOBODY, Fence, Token
+from stonetrack.election.fencing import NO_TOKEN, Fence, Token
 
 FILE = "owner.json"
 
 
-def retained(folder: Path, budget: int, token: Token | None) -> list[str]:
-    """Delete what is over the budget, on this owner's behalf.  Raises Refused, OSError."""
+def apply_retention(folder: Path, budget: int, token: Token | None) -> list[str]:
+    """Delete what is over the budget, on this owner's behalf.  Raises FencingError, OSError."""
     lock = os.open(folder / "owner.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
         fcntl.flock(lock, fcntl.LOCK_EX)
         path = folder / FILE
-        known = msgspec.json.decode(path.read_bytes(), type=Token) if path.exists() else NOBODY
+        known = msgspec.json.decode(path.read_bytes(), type=Token) if path.exists() else NO_TOKEN
         fence = Fence(f"captures in {folder}", known)
         fence.admit(token, lambda fresh: save(path, msgspec.json.encode(fresh)))
         return delete_over_budget(folder, budget)
--- a/stonetrack/controller/checking.py
+++ b/stonetrack/controller/health_checks.py
@@ -15,11 +15,11 @@
 
 from msgspec import Meta
 
-from stonetrack.controller.jobs import Facts, Step, Timeless, Wait
+from stonetrack.controller.jobs import Facts, Step, Wait, WithoutTimes
 from stonetrack.settings.schema import Share, Strict
 
 
-class Checks(Strict, frozen=True):
+class HealthCheckSettings(Strict, frozen=True):
     """Its settings; off where ``every_s`` is 0."""
 
     every_s: Annotated[float, Meta(ge=0.0, le=600.0)] = 0.0
@@ -28,7 +28,7 @@
     most_share: Share = 0.3
 
 
-class Tally:
+class CheckTally:
     """Checks as they were answered, in the memory of one owner: a successor begins anew."""
 
     def __init__(self, fails: int) -> None:
@@ -50,20 +50,20 @@
         return told
 
 
-class Check(Timeless):
+class HealthCheckJob(WithoutTimes):
     """See the module."""
 
     name = "checking"
 
-    def __init__(self, settings: Checks) -> None:
+    def __init__(self, settings: HealthCheckSettings) -> None:
         self.settings = settings
 
-    def begin(self) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def initial_state(self) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {"published": 0}
 
-    def next(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
-        """See ``jobs.Kind``.  What answers again comes first, so that the share has room."""
+    def next_step(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
+        """See ``jobs.Job``.  What answers again comes first, so that the share has room."""
         stands = {str(line["name"]): line for line in facts.engines}
         known = {name: since for name, since in facts.failing.items() if name in stands and since is not None}
         changes = [(name, since) for name, since in known.items() if bool(since) != bool(stands[name].get("failing"))]
@@ -80,6 +80,6 @@
             return f"{failing} of {len(of_kind)} {kind} are published as failing; more are not, it may be this steward"
         return ""
 
-    def after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def state_after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {"published": state["published"] + 1}
--- a/stonetrack/controller/jobs.py
+++ b/stonetrack/controller/jobs.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from stonetrack.election.fence import Token
+from stonetrack.election.fencing import Token
 
 
 class Step(msgspec.Struct, frozen=True):
@@ -53,33 +53,33 @@
     service: float | None = None  # share of requests served since the last look; None where nobody tells
 
 
-class Kind(Protocol):
+class Job(Protocol):
     """One kind of job; settings are given to its constructor."""
 
     name: str
 
-    def begin(self) -> dict[str, Any]:
+    def initial_state(self) -> dict[str, Any]:
         """The state of a job that was never done."""
 
-    def next(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
+    def next_step(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
         """The next step.  The same state and facts give the same one."""
 
-    def after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
+    def state_after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
         """The state once a step is done."""
 
-    def shifted(self, state: dict[str, Any], by: float) -> dict[str, Any]:
+    def shift_times(self, state: dict[str, Any], by: float) -> dict[str, Any]:
         """The state by a clock that is so many seconds ahead."""
 
 
-class Timeless:
+class WithoutTimes:
     """A kind whose state holds no times that count."""
 
-    def shifted(self, state: dict[str, Any], by: float) -> dict[str, Any]:
-        """See ``Kind``."""
+    def shift_times(self, state: dict[str, Any], by: float) -> dict[str, Any]:
+        """See ``Job``."""
         return state
 
 
-class Noted(msgspec.Struct, frozen=True):
+class JournalEntry(msgspec.Struct, frozen=True):
     """What the journal holds of one job."""
 
     term: int
@@ -91,29 +91,29 @@
     trouble: str = ""  # why the last try failed
 
 
-class Overtaken(Exception):
+class Superseded(Exception):
     """The journal was written by a later owner."""
 
 
-def taken_up(found: Noted | None, kind: Kind, token: Token, at: float) -> Noted:
-    """The journal as this owner goes on with it, by its own clock.  Raises Overtaken."""
+def resume(found: JournalEntry | None, kind: Job, token: Token, at: float) -> JournalEntry:
+    """The journal as this owner goes on with it, by its own clock.  Raises Superseded."""
     if found is None:
-        return Noted(token.term, token.owner, kind.begin())
+        return JournalEntry(token.term, token.owner, kind.initial_state())
     if found.term > token.term or (found.term == token.term and found.owner != token.owner):
-        raise Overtaken(f"job {kind.name}: term {found.term} of {found.owner} has begun")
+        raise Superseded(f"job {kind.name}: term {found.term} of {found.owner} has begun")
     if found.owner == token.owner:
         return msgspec.structs.replace(found, term=token.term)
-    state = kind.shifted(found.state, at - found.at)
+    state = kind.shift_times(found.state, at - found.at)
     return msgspec.structs.replace(found, term=token.term, owner=token.owner, state=state, at=at)
 
 
-def begun(noted: Noted, step: Step, at: float) -> Noted:
+def begin_step(noted: JournalEntry, step: Step, at: float) -> JournalEntry:
     """The journal with a step about to be carried out."""
     return msgspec.structs.replace(noted, begun=step, at=at, trouble="")
 
 
-def done(noted: Noted, kind: Kind, result: dict[str, Any], at: float) -> Noted:
+def finish_step(noted: JournalEntry, kind: Job, result: dict[str, Any], at: float) -> JournalEntry:
     """The journal once the step that was begun is done."""
     assert noted.begun is not None
-    state = kind.after(noted.state, noted.begun, result, at)
+    state = kind.state_after(noted.state, noted.begun, result, at)
     return msgspec.structs.replace(noted, state=state, number=noted.number + 1, begun=None, at=at, trouble="")
--- a/stonetrack/controller/maintenance.py
+++ b/stonetrack/controller/maintenance.py
@@ -15,10 +15,10 @@
 from stonetrack.controller.jobs import Facts, Step, Wait
 from stonetrack.settings.schema import Strict
 
-AWAY = ("draining", "out", "back")
+ABSENT_PHASES = ("draining", "out", "back")
 
 
-class Maintenance(Strict, frozen=True):
+class MaintenanceSettings(Strict, frozen=True):
     """Its settings."""
 
     engines: tuple[str, ...] = ()  # names, in the order in which they go; empty: nothing is to be done
@@ -39,7 +39,7 @@
 _BACK, _DONE = _telling("back", "up"), _telling("done", "up")
 
 
-def away(state: Mapping[str, Any], begun: Step | None = None) -> tuple[str, ...]:
+def withheld_engines(state: Mapping[str, Any], begun: Step | None = None) -> tuple[str, ...]:
     """The engines that a maintenance has as leaving or out: whoever publishes a list leaves them so.
 
     A step that was begun counts as done: it may be, and whoever owns the work carries it out.
@@ -50,20 +50,20 @@
     return tuple(sorted(name for name, phase in phases.items() if phase in ("draining", "out")))
 
 
-class Roll:
+class MaintenanceJob:
     """See the module."""
 
     name = "maintenance"
 
-    def __init__(self, settings: Maintenance) -> None:
+    def __init__(self, settings: MaintenanceSettings) -> None:
         self.settings = settings
 
-    def begin(self) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def initial_state(self) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {"engines": {}}
 
-    def next(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
-        """See ``jobs.Kind``.  What is away comes back first; then the next one goes out."""
+    def next_step(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
+        """See ``jobs.Job``.  What is away comes back first; then the next one goes out."""
         lines = {str(line["name"]): line for line in facts.engines}
         stands: Mapping[str, Any] = state["engines"]
         soonest = 3_600.0
@@ -85,11 +85,11 @@
             if why:
                 return Wait(soonest, why)
             return _DRAINING(name)
-        return Wait(soonest, "" if any(p in AWAY for p, _ in stands.values()) else "all done")
+        return Wait(soonest, "" if any(p in ABSENT_PHASES for p, _ in stands.values()) else "all done")
 
     def _full(self, name: str, lines: Mapping[str, Mapping[str, Any]], stands: Mapping[str, Any]) -> str:
         line = lines[name]
-        away = [lines[n] for n, (phase, _) in stands.items() if phase in AWAY and n in lines]
+        away = [lines[n] for n, (phase, _) in stands.items() if phase in ABSENT_PHASES and n in lines]
         roles = Counter(each.get("kind") for each in away)
         cells = Counter(each.get("cell", 0) for each in away)
         kind, cell = line.get("kind"), line.get("cell", 0)
@@ -102,10 +102,10 @@
             return f"{name} is the last {kind} that is up"
         return ""
 
-    def after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def state_after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {"engines": {**state["engines"], step.args["name"]: [step.args["phase"], at]}}
 
-    def shifted(self, state: dict[str, Any], by: float) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def shift_times(self, state: dict[str, Any], by: float) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {"engines": {name: [phase, since + by] for name, (phase, since) in state["engines"].items()}}
--- a/stonetrack/controller/publishing.py
+++ b/stonetrack/controller/publishing.py
@@ -12,20 +12,20 @@
 
 from typing import Any
 
-from stonetrack.controller.jobs import Facts, Step, Timeless, Wait
+from stonetrack.controller.jobs import Facts, Step, Wait, WithoutTimes
 
 
-class Publish(Timeless):
+class PublishJob(WithoutTimes):
     """See the module."""
 
     name = "publishing"
 
-    def begin(self) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def initial_state(self) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {"last": 0, "version": 0, "origin": ""}
 
-    def next(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
-        """See ``jobs.Kind``."""
+    def next_step(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
+        """See ``jobs.Job``."""
         origin = state.get("origin", "")
         lost = origin and facts.origin and (facts.origin != origin or facts.version < state["version"])
         for document in facts.wanted:
@@ -34,6 +34,6 @@
                             "the same list changes nothing a second time, and its version stays")  # fmt: skip
         return Wait(1.0, "all published")
 
-    def after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def state_after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {"last": step.args["number"], "version": result.get("version", 0), "origin": result.get("origin", "")}
--- a/stonetrack/controller/retaining.py
+++ b/stonetrack/controller/retention.py
@@ -8,11 +8,11 @@
 
 from typing import Any
 
-from stonetrack.controller.jobs import Facts, Step, Timeless, Wait
+from stonetrack.controller.jobs import Facts, Step, Wait, WithoutTimes
 from stonetrack.settings.schema import Strict
 
 
-class Retention(Strict, frozen=True):
+class RetentionSettings(Strict, frozen=True):
     """Its settings; off where ``folder`` is empty."""
 
     folder: str = ""
@@ -20,26 +20,26 @@
     every_s: float = 60.0
 
 
-class Retain(Timeless):
+class RetentionJob(WithoutTimes):
     """See the module."""
 
     name = "keeping"
 
-    def __init__(self, settings: Retention) -> None:
+    def __init__(self, settings: RetentionSettings) -> None:
         self.settings = settings
 
-    def begin(self) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def initial_state(self) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {"at": 0.0, "deleted": 0}
 
-    def next(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
-        """See ``jobs.Kind``."""
+    def next_step(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
+        """See ``jobs.Job``."""
         left = state["at"] + self.settings.every_s - facts.at
         if 0 < left <= self.settings.every_s:  # a clock that was set back does not stop it
             return Wait(left)
         return Step("retain", {"folder": self.settings.folder, "budget": self.settings.budget_bytes},
                     "what is deleted is gone; a folder within its budget loses nothing")  # fmt: skip
 
-    def after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def state_after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {"at": at, "deleted": state["deleted"] + int(result.get("deleted", 0))}
--- a/stonetrack/controller/rolling.py
+++ b/stonetrack/controller/rollout.py
@@ -18,7 +18,7 @@
 from stonetrack.settings.schema import Share, Strict
 
 
-class Rollout(Strict, frozen=True):
+class RolloutSettings(Strict, frozen=True):
     """Its settings; ``stages`` are shares of the nodes, the last one is everybody."""
 
     folder: str = ""  # empty: none
@@ -45,20 +45,20 @@
     return found
 
 
-class RollOut:
+class RolloutJob:
     """See the module."""
 
     name = "rollout"
 
-    def __init__(self, settings: Rollout) -> None:
+    def __init__(self, settings: RolloutSettings) -> None:
         self.settings = settings
 
-    def begin(self) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def initial_state(self) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {"last": 0, "number": 0, "stage": 0, "since": 0.0, "given_up": []}
 
-    def next(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
-        """See ``jobs.Kind``."""
+    def next_step(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
+        """See ``jobs.Job``."""
         if not state["number"]:
             return self._begun(state, facts)
         waited = facts.at - state["since"]
@@ -89,8 +89,8 @@
         terms = Terms(self.settings.loss, self.settings.alarm, self.settings.miss)
         return rollout.verdict(samples_of(facts.nodes, state["number"]), terms)
 
-    def after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def state_after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         if step.what == "publish":
             staged = result.get("staged", 0)
             return {**state, "last": step.args["file"], "number": staged, "stage": 0, "since": at}
@@ -101,6 +101,6 @@
             given_up.append([state["last"], step.args["why"]])
         return {**state, "number": 0, "stage": 0, "since": at, "given_up": given_up[-50:]}
 
-    def shifted(self, state: dict[str, Any], by: float) -> dict[str, Any]:
-        """See ``jobs.Kind``."""
+    def shift_times(self, state: dict[str, Any], by: float) -> dict[str, Any]:
+        """See ``jobs.Job``."""
         return {**state, "since": state["since"] + by}
--- a/stonetrack/controller/settings.py
+++ b/stonetrack/controller/settings.py
@@ -7,10 +7,10 @@
 
 from msgspec import Meta
 
-from stonetrack.controller.checking import Checks
-from stonetrack.controller.maintenance import Maintenance
-from stonetrack.controller.retaining import Retention
-from stonetrack.controller.rolling import Rollout
+from stonetrack.controller.health_checks import HealthCheckSettings
+from stonetrack.controller.maintenance import MaintenanceSettings
+from stonetrack.controller.retention import RetentionSettings
+from stonetrack.controller.rollout import RolloutSettings
 from stonetrack.settings import SettingsError, decode, evaluate
 from stonetrack.settings.check import Problem
 from stonetrack.settings.schema import Limits, Listen, Strict, Timing
@@ -18,7 +18,7 @@
 Seconds = Annotated[float, Meta(gt=0.0, le=86_400.0)]
 
 
-class Register(Strict, frozen=True):
+class StoreSettings(Strict, frozen=True):
     """Where the lease and the journals are: a folder on one machine, or etcd's endpoints (``host:port``)."""
 
     folder: str = ""
@@ -26,12 +26,12 @@
     timeout_s: Seconds = 1.0
 
 
-class Steward(Strict, frozen=True, kw_only=True):
+class ControllerSettings(Strict, frozen=True, kw_only=True):
     """All settings of one steward; those of one fleet differ in name, rank and listen alone."""
 
     name: Annotated[str, Meta(min_length=1, max_length=60, pattern=r"^[A-Za-z0-9._-]+$")]
     fleet: Annotated[str, Meta(min_length=1, max_length=60, pattern=r"^[A-Za-z0-9._-]+$")] = "fleet"
-    register: Register
+    register: StoreSettings
     rank: Annotated[int, Meta(ge=0, le=100)] = 0  # beats that it leaves the others, when the lease is free
     lease_s: Seconds = 10.0
     drift: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.05  # by which two clocks' rates may differ
@@ -39,21 +39,21 @@
     lists: str = ""  # the list service's URL
     nodes: tuple[str, ...] = ()  # nodes whose /metrics tell the fleet's service, ``host:port``
     call_s: Seconds = 2.0  # time without a byte that a receiver may take
-    maintenance: Maintenance = Maintenance()
+    maintenance: MaintenanceSettings = MaintenanceSettings()
     publish: str = ""  # folder of lists to publish, NUMBER.json; empty: none
-    retention: Retention = Retention()
-    checks: Checks = Checks()
+    retention: RetentionSettings = RetentionSettings()
+    checks: HealthCheckSettings = HealthCheckSettings()
     control: str = ""  # the control service's URL, for roll-outs
-    rollout: Rollout = Rollout()
+    rollout: RolloutSettings = RolloutSettings()
     listen: Listen = Listen(port=0)  # /health and /metrics
     limits: Limits = Limits(workers=16, connections=200)
     timing: Timing = Timing(drain_ms=1_000)
     log_level: Annotated[str, Meta(pattern="^(debug|info|warning|error)$")] = "info"
 
 
-def load_steward(path: Path, variables: dict[str, str] | None = None) -> Steward:
+def load_controller_settings(path: Path, variables: dict[str, str] | None = None) -> ControllerSettings:
     """Evaluate and check a file.  Raises SettingsError naming path, value and what is allowed."""
-    made = decode(evaluate(path, variables), Steward, str(path))
+    made = decode(evaluate(path, variables), ControllerSettings, str(path))
     wrong = []
     if bool(made.register.folder) == bool(made.register.etcd):
         wrong.append(Problem("$.register", "folder and etcd", "either a folder, or etcd's endpoints"))
--- a/stonetrack/discovery/turns.py
+++ b/stonetrack/discovery/admission.py
@@ -22,20 +22,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class Admitted:
     """Answer at this time (nanoseconds)."""
 
-    at: int
+    send_at: int
 
 
 @dataclass(frozen=True, slots=True)
-class ComeAgain:
+class RetryLater:
     """Turned away; seconds until there is room, at least 1."""
 
-    after: int
+    retry_after_s: int
 
 
-class Turns:
+class AdmissionQueue:
     """See the module."""
 
     def __init__(self, per_second: float, most: float) -> None:
@@ -45,9 +45,9 @@
         self._free = 0  # when the last one given a turn has been served
         self._told = 0  # the last moment that somebody was told to come at
         self._places: Counter[str] = Counter()
-        self.turned_away = 0
+        self.rejected = 0
 
-    def arrive(self, now: int, node: str, cost: float, patience: int = 0) -> Turn | ComeAgain:
+    def admit(self, now: int, node: str, cost: float, patience: int = 0) -> Admitted | RetryLater:
         """A turn for an answer that costs so much of a whole list; ``patience`` is how much longer than ``most`` it may
         wait, in nanoseconds.
 
@@ -61,7 +61,7 @@
         self._free = at + took
         if node:
             self._places[node] += 1
-        return Turn(at)
+        return Admitted(at)
 
     def done(self, node: str) -> None:
         """The answer is out, or its node has gone."""
@@ -70,7 +70,7 @@
             if self._places[node] <= 0:
                 del self._places[node]
 
-    def _come_again(self, now: int, took: int) -> ComeAgain:
-        self.turned_away += 1
+    def _come_again(self, now: int, took: int) -> RetryLater:
+        self.rejected += 1
         self._told = max(self._told, self._free, now) + max(took, self._apart)
-        return ComeAgain(max(1, -(-(self._told - now) // SECOND)))
+        return RetryLater(max(1, -(-(self._told - now) // SECOND)))
--- a/stonetrack/discovery/service.py
+++ b/stonetrack/discovery/service.py
@@ -29,11 +29,11 @@
 from prometheus_client.registry import Collector
 
 from stonetrack.clocks import wall_time
-from stonetrack.discovery.history import History, Line, LinesError, Told
-from stonetrack.discovery.keeping import keep, new_origin, restore
-from stonetrack.discovery.settings import Lists
-from stonetrack.discovery.turns import ComeAgain, Turns
-from stonetrack.election.fence import HEADER, Fence, Refused, Token, token_of
+from stonetrack.discovery.admission import AdmissionQueue, RetryLater
+from stonetrack.discovery.history import EncodedDocument, History, Line, LinesError
+from stonetrack.discovery.settings import DiscoverySettings
+from stonetrack.discovery.state_file import load_state, new_origin, save_state
+from stonetrack.election.fencing import TOKEN_HEADER, Fence, FencingError, Token, parse_token
 from stonetrack.engines import server_list
 from stonetrack.engines.list_source import file_signature
 from stonetrack.engines.server_list import ListError, split_address
@@ -50,7 +50,7 @@
 _KNOWN = tuple(server_list.EngineEntry.__struct_fields__)
 
 
-def lines_of(data: bytes) -> list[Mapping[str, Any]]:
+def parse_lines(data: bytes) -> list[Mapping[str, Any]]:
     """A document's engines, checked as a node would.  Raises ListError."""
     try:
         raw = msgspec.json.decode(data)
@@ -67,15 +67,15 @@
 
 
 class Service:
-    """See the module; ``log`` takes a text and fields.  Raises KeepingError for a damaged state folder."""
+    """See the module; ``log`` takes a text and fields.  Raises StateFileError for a damaged state folder."""
 
-    def __init__(self, settings: Lists, listener: socket, log: Log) -> None:
+    def __init__(self, settings: DiscoverySettings, listener: socket, log: Log) -> None:
         self.settings, self._log = settings, log
         self._folder = Path(settings.state_dir)
-        self.history, owner, self._given = restore(self._folder, lambda: int(wall_time()), settings.versions)
+        self.history, owner, self._given = load_state(self._folder, lambda: int(wall_time()), settings.versions)
         self._fence = Fence("the list", owner)
         self._keep(self.history.origin, self.history.version, self.history.lines)
-        self._turns = Turns(settings.lists_per_second, settings.waiting)
+        self._admission = AdmissionQueue(settings.lists_per_second, settings.waiting)
         self._lock = threading.Lock()
         self._waiting = LongPoll()
         self._done = threading.Event()
@@ -113,7 +113,7 @@
     # The list.
 
     def put(self, lines: Iterable[Mapping[str, Any]], whole: bool, owner: Token | None = None) -> int:
-        """Take a list, or changes to it; how many engines changed.  Raises LinesError, OSError, Refused."""
+        """Take a list, or changes to it; how many engines changed.  Raises LinesError, OSError, FencingError."""
         with self._lock:
             if not whole and not self._given:
                 raise LinesError("no list was given yet: changes to nothing would be the whole list; PUT one")
@@ -140,17 +140,17 @@
         return sorted(name for name, line in self.history.lines.items() if line.get("state", "up") != "up")
 
     def _keep(self, origin: str, version: int, lines: Mapping[str, Line]) -> None:
-        keep(self._folder, origin, version, lines, self._fence.known, self._given)
+        save_state(self._folder, origin, version, lines, self._fence.known, self._given)
 
     def _keep_all(self, history: History, owner: Token) -> None:
-        keep(self._folder, history.origin, history.version, history.lines, owner, self._given)
+        save_state(self._folder, history.origin, history.version, history.lines, owner, self._given)
 
     def _read_file(self) -> None:
         path = Path(self.settings.file)
         try:
             seen = file_signature(path)
             if seen != self._seen:
-                self.put(lines_of(path.read_bytes()), whole=True)
+                self.put(parse_lines(path.read_bytes()), whole=True)
                 self._seen, self._trouble = seen, ""
         except (OSError, ListError, LinesError) as error:
             if str(error) != self._trouble:  # the list before stays in force
@@ -172,7 +172,7 @@
         if head.path == PATH and head.method == "GET":
             return self._engines(connection, request, waker, keep_alive)
         if head.path == PATH and head.method in ("PUT", "PATCH") and self.settings.may_put:
-            status, body = self._take(head.method == "PUT", request.body, head.headers.get(HEADER.lower()))
+            status, body = self._take(head.method == "PUT", request.body, head.headers.get(TOKEN_HEADER.lower()))
         elif head.path == "/health" and head.method == "GET":
             status, body = (503 if self._waiting.stopping else 200), msgspec.json.encode(self._health())
         elif head.path == "/metrics" and head.method == "GET":
@@ -189,8 +189,8 @@
 
     def _take(self, whole: bool, data: bytes, owner: str) -> tuple[int, bytes]:
         try:
-            self.put(lines_of(data), whole, token_of(owner))
-        except Refused as error:
+            self.put(parse_lines(data), whole, parse_token(owner))
+        except FencingError as error:
             self.answers["refused"] += 1
             self._warn(str(error))
             return 409, msgspec.json.encode({"error": str(error), "known": error.known})
@@ -227,41 +227,41 @@
             return keep_alive
         return self._in_turn(connection, waker, (after, origin, node), news, wait * MS, keep_alive)
 
-    def _in_turn(self, connection: Connection, waker: Waker, asked: tuple[int, str, str], news: Told, patience: int,
-                 keep_alive: bool) -> bool:  # fmt: skip
+    def _in_turn(self, connection: Connection, waker: Waker, asked: tuple[int, str, str], news: EncodedDocument,
+                 patience: int, keep_alive: bool) -> bool:  # fmt: skip
         after, origin, node = asked
         with self._lock:
-            cost = len(news.body) / max(1, len(self.history.whole().body))
-            turn = self._turns.arrive(time.monotonic_ns(), node, cost, patience)
-        if isinstance(turn, ComeAgain):
+            cost = len(news.body) / max(1, len(self.history.full().body))
+            turn = self._admission.admit(time.monotonic_ns(), node, cost, patience)
+        if isinstance(turn, RetryLater):
             self.answers["turned away"] += 1
-            fields = (("Retry-After", str(turn.after)),)
+            fields = (("Retry-After", str(turn.retry_after_s)),)
             connection.write(plain_response(503, error_body("too many ask at once"), fields, keep=keep_alive))
             return keep_alive
         try:
-            wait = (turn.at - time.monotonic_ns()) / MS
+            wait = (turn.send_at - time.monotonic_ns()) / MS
             if wait > 0 and not self._waiting.wait(connection, waker, wait, lambda: False):
                 return False
             news = self._news(after, origin) or news  # what there is now
-            self.answers["whole" if news.whole else "changes"] += 1
+            self.answers["whole" if news.full else "changes"] += 1
             self.bytes_out += len(news.body)
             connection.write(plain_response(200, news.body, keep=keep_alive))
         finally:
             with self._lock:
-                self._turns.done(node)
+                self._admission.done(node)
         return keep_alive
 
     def _tells(self, after: int, origin: str) -> bool:
         return self._given and self._news(after, origin) is not None
 
-    def _news(self, after: int, origin: str) -> Told | None:
+    def _news(self, after: int, origin: str) -> EncodedDocument | None:
         with self._lock:
             if not origin and after >= self.history.version:
                 return None  # it knows no histories; versions of one alone can be compared
-            if self.history.overtaken(after, origin) and after < 1 << 53:
-                self.history.begin_anew(new_origin(), after + 1, self._keep)
+            if self.history.client_is_ahead(after, origin) and after < 1 << 53:
+                self.history.start_new_history(new_origin(), after + 1, self._keep)
                 self._log("an old state was put back: another history begins", version=self.history.version)
-            return self.history.news(after, origin or self.history.origin)
+            return self.history.document_since(after, origin or self.history.origin)
 
     def _health(self) -> dict[str, Any]:
         return {
@@ -303,7 +303,9 @@
             yield GaugeMetricFamily(f"stonetrack_lists_{name}", text, value=value)
 
 
-def run(settings: Lists, listener: socket, log: Log, ready: Callable[[], None], until: threading.Event) -> None:
+def run(
+    settings: DiscoverySettings, listener: socket, log: Log, ready: Callable[[], None], until: threading.Event
+) -> None:
     """Serve until told; then drain."""
     service = Service(settings, listener, log)
     service.start()
--- a/stonetrack/discovery/settings.py
+++ b/stonetrack/discovery/settings.py
@@ -12,7 +12,7 @@
 from stonetrack.settings.schema import Limits, Listen, Strict, Timing
 
 
-class Lists(Strict, frozen=True, kw_only=True):
+class DiscoverySettings(Strict, frozen=True, kw_only=True):
     """All settings of one list service."""
 
     listen: Listen = Listen(port=7000)
@@ -29,9 +29,9 @@
     log_level: Annotated[str, Meta(pattern="^(debug|info|warning|error)$")] = "info"
 
 
-def load_lists(path: Path, variables: dict[str, str] | None = None) -> Lists:
+def load_discovery_settings(path: Path, variables: dict[str, str] | None = None) -> DiscoverySettings:
     """Evaluate and check a file.  Raises SettingsError naming path, value and what is allowed."""
-    made = decode(evaluate(path, variables), Lists, str(path))
+    made = decode(evaluate(path, variables), DiscoverySettings, str(path))
     if bool(made.file) == made.may_put:
         raise SettingsError([Problem("$.file", made.file, "either a file, or may_put: true")], str(path))
     return made
--- a/stonetrack/election/search.py
+++ b/stonetrack/election/breadth_first.py
@@ -15,16 +15,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class SearchResult:
     """What came of it; ``history`` is empty where no promise was broken."""
 
     states: int
-    broken: str
+    violation: str
     history: tuple[str, ...]
-    whole: bool  # whether every state within the bounds was seen
+    complete: bool  # whether every state within the bounds was seen
 
 
-def search(first: W, steps: Callable[[W], Iterable[tuple[str, W, str]]], plain: Callable[[W], W], most: int) -> Found:
+def search(
+    first: W, steps: Callable[[W], Iterable[tuple[str, W, str]]], plain: Callable[[W], W], most: int
+) -> SearchResult:
     """All states that can be reached, ``most`` at the most."""
     came: dict[W, tuple[W, str] | None] = {first: None}
     waiting = deque([first])
@@ -33,14 +35,14 @@
         for said, after, broken in steps(world):
             then = plain(after)
             if broken:
-                return Found(len(came), broken, (*_history(came, world), said), False)
+                return SearchResult(len(came), broken, (*_history(came, world), said), False)
             if then in came:
                 continue
             came[then] = (world, said)
             waiting.append(then)
             if len(came) >= most:
-                return Found(len(came), "", (), False)
-    return Found(len(came), "", (), True)
+                return SearchResult(len(came), "", (), False)
+    return SearchResult(len(came), "", (), True)
 
 
 def _history(came: dict[W, tuple[W, str] | None], world: W) -> tuple[str, ...]:
--- a/stonetrack/election/fence.py
+++ b/stonetrack/election/fencing.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-HEADER = "X-Stonetrack-Term"
+TOKEN_HEADER = "X-Stonetrack-Term"
 _FORM = re.compile(r"([0-9]{1,18}) ([!-~]{1,200})")
 
 
@@ -28,10 +28,10 @@
         return f"{self.term} {self.owner}"
 
 
-NOBODY = Token(0, "")
+NO_TOKEN = Token(0, "")
 
 
-class Refused(Exception):
+class FencingError(Exception):
     """An effect that is not taken; ``known`` is the latest token there."""
 
     def __init__(self, text: str, known: Token) -> None:
@@ -45,37 +45,39 @@
     While no token was ever seen, effects without one are taken: a fleet without a steward has none.
     """
 
-    def __init__(self, what: str, known: Token = NOBODY) -> None:
+    def __init__(self, what: str, known: Token = NO_TOKEN) -> None:
         self.what, self.known = what, known
 
     def check(self, token: Token | None) -> None:
-        """Raises Refused."""
+        """Raises FencingError."""
         known = self.known
         if token is None:
             if known.term:
-                text = f"{self.what}: belongs to {known.owner}, term {known.term}; {HEADER}: TERM OWNER is asked for"
-                raise Refused(text, known)
+                text = (
+                    f"{self.what}: belongs to {known.owner}, term {known.term}; {TOKEN_HEADER}: TERM OWNER is asked for"
+                )
+                raise FencingError(text, known)
         elif token.term < max(1, known.term):
             text = f"{self.what}: term {token.term} of {token.owner} is over, {known.term} of {known.owner} has begun"
-            raise Refused(text, known)
+            raise FencingError(text, known)
         elif token.term == known.term and token.owner != known.owner:
             text = f"{self.what}: term {token.term} is {known.owner}'s, not {token.owner}'s: the register lost a write"
-            raise Refused(text, known)
+            raise FencingError(text, known)
 
-    def admit(self, token: Token | None, keep: Callable[[Token], None] = lambda token: None) -> None:
-        """Take an effect, and from here on none older.  ``keep`` makes a new token durable first; what it raises leaves
-        all as it was.  Raises Refused."""
+    def admit(self, token: Token | None, persist: Callable[[Token], None] = lambda token: None) -> None:
+        """Take an effect, and from here on none older.  ``persist`` makes a new token durable first; what it raises
+        leaves all as it was.  Raises FencingError."""
         self.check(token)
         if token is not None and token != self.known:
-            keep(token)
+            persist(token)
             self.known = token
 
 
-def token_of(value: str) -> Token | None:
+def parse_token(value: str) -> Token | None:
     """The token that a header's value gives; None for no header.  Raises ValueError for anything else."""
     if not value:
         return None
     found = _FORM.fullmatch(value)
     if found is None:
-        raise ValueError(f"{HEADER}: {value[:60]!r}; allowed: TERM OWNER, as in '7 s1/4fe2'")
+        raise ValueError(f"{TOKEN_HEADER}: {value[:60]!r}; allowed: TERM OWNER, as in '7 s1/4fe2'")
     return Token(int(found.group(1)), found.group(2))
--- a/stonetrack/election/explore.py
+++ b/stonetrack/election/model_checker.py
@@ -12,7 +12,7 @@
 3. steps of the job are carried out in order, each at least once, and never again after the next one;
 4. no effect is sent by an owner whose own clock says that it does not hold the lease.
 
-:class:`Less` takes one protection away, to show that the exploration finds what it is for.
+:class:`Omitted` takes one protection away, to show that the exploration finds what it is for.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 from enum import Flag, auto
 from typing import TypeVar
 
-from stonetrack.election.fence import NOBODY, Fence, Refused, Token
-from stonetrack.election.lease import Lease, Look, Outcome, Record, Rest, Stage, Swap, Terms
-from stonetrack.election.search import Found, search
+from stonetrack.election.breadth_first import SearchResult, search
+from stonetrack.election.fencing import NO_TOKEN, Fence, FencingError, Token
+from stonetrack.election.lease import Lease, LeaseTimes, Outcome, ReadRecord, Record, Sleep, Stage, WriteRecord
 
 T = TypeVar("T")
 CHANCE = 0.0  # all candidates ask as soon as they may
 
 
-class Less(Flag):
+class Omitted(Flag):
     """What is left out."""
 
     NOTHING = 0
@@ -46,18 +46,18 @@
 class Bounds:
     """How large the world is."""
 
-    owners: int = 2
+    candidates: int = 2
     receivers: int = 1
     ticks: int = 6
     steps: int = 2  # of the job
-    out: int = 2  # writes and effects under way at one time, each
+    in_flight: int = 2  # writes and effects under way at one time, each
     restarts: int = 1  # of receivers
-    lost: int = 1  # answers of the register
-    back: int = 0  # times that the register loses its last write
+    lost_answers: int = 1  # answers of the register
+    rollbacks: int = 0  # times that the register loses its last write
     lease: int = 3
     renewals: int = 1
-    told: bool = False  # candidates follow the register, and may be told of what it holds at any moment
-    states: int = 2_000_000
+    notified: bool = False  # candidates follow the register, and may be told of what it holds at any moment
+    max_states: int = 2_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
     """What an owner knows beside its lease."""
 
     doing: int = 0  # the step whose effect it has sent and not heard of; 0 for none
-    token: Token = NOBODY  # with which it began its work
+    token: Token = NO_TOKEN  # with which it began its work
     known: int = -1  # steps done by the journal, as it read it in this term; -1 for not read
 
 
@@ -117,19 +117,19 @@
     return now - now // 4 if owner == 0 else now
 
 
-def terms_of(bounds: Bounds, less: Less) -> Terms:
+def terms_of(bounds: Bounds, less: Omitted) -> LeaseTimes:
     """The lease's durations in ticks: clocks differ by a quarter at most."""
-    return Terms(bounds.lease, 0.0 if Less.MARGIN in less else 0.25, 0, bounds.renewals)
+    return LeaseTimes(bounds.lease, 0.0 if Omitted.MARGIN in less else 0.25, 0, bounds.renewals)
 
 
-def explore(bounds: Bounds, less: Less = Less.NOTHING) -> Found:
+def explore(bounds: Bounds, less: Omitted = Omitted.NOTHING) -> SearchResult:
     """See the module."""
     terms = terms_of(bounds, less)
-    leases = tuple(Lease(f"s{n}", terms) for n in range(bounds.owners))
-    nobody = (NOBODY,) * bounds.receivers
-    first = World(0, leases, (Mind(),) * bounds.owners, 0, 0, None, (0, None), 0, 0, (), (), nobody, nobody,
-                  ((NOBODY, 0),) * bounds.receivers, 0, 0, 0)  # fmt: skip
-    return search(first, lambda world: _next(world, bounds, less), _plain, bounds.states)
+    leases = tuple(Lease(f"s{n}", terms) for n in range(bounds.candidates))
+    nobody = (NO_TOKEN,) * bounds.receivers
+    first = World(0, leases, (Mind(),) * bounds.candidates, 0, 0, None, (0, None), 0, 0, (), (), nobody, nobody,
+                  ((NO_TOKEN, 0),) * bounds.receivers, 0, 0, 0)  # fmt: skip
+    return search(first, lambda world: _next(world, bounds, less), _plain, bounds.max_states)
 
 
 def _plain(world: World) -> World:
@@ -139,21 +139,22 @@
 
 
 def _plain_lease(lease: Lease) -> Lease:
-    asking, owning = lease.stage is Stage.ASKING, lease.stage is Stage.OWNING
+    asking, owning = lease.stage is Stage.ACQUIRING, lease.stage is Stage.LEADING
     return replace(
-        lease, why="", asked_at=0 if lease.asked is None else lease.asked_at, seen_at=0 if owning else lease.seen_at,
-        ask_at=0 if asking or owning else lease.ask_at, look_at=0 if asking else lease.look_at)  # fmt: skip
+        lease, reason="", written_at=0 if lease.pending is None else lease.written_at,
+        beat_read_at=0 if owning else lease.beat_read_at, acquire_at=0 if asking or owning else lease.acquire_at,
+        next_read_at=0 if asking else lease.next_read_at)  # fmt: skip
 
 
 Next = tuple[str, World, str]
 
 
-def _next(world: World, bounds: Bounds, less: Less) -> Iterator[Next]:
+def _next(world: World, bounds: Bounds, less: Omitted) -> Iterator[Next]:
     """All that may happen now, and the promise that it breaks, if any."""
     if world.now < bounds.ticks:
         then = replace(world, now=world.now + 1)
         yield "time goes on", then, _two_hold(then, bounds)
-    for n in range(bounds.owners):
+    for n in range(bounds.candidates):
         yield from _turn(world, n, bounds, less)
     for write in world.writes:
         yield from _write(world, write, bounds, less)
@@ -161,11 +162,11 @@
         yield from _arrive(world, sent, bounds, less)
         yield f"an effect of s{sent.owner} is lost", replace(world, sent=_without(world.sent, sent)), ""
     for r in range(bounds.receivers):
-        if world.restarts < bounds.restarts and world.known[r] != NOBODY:
-            after = NOBODY if Less.DURABLE in less else world.durable[r]
+        if world.restarts < bounds.restarts and world.known[r] != NO_TOKEN:
+            after = NO_TOKEN if Omitted.DURABLE in less else world.durable[r]
             known = _with(world.known, r, after)
             yield f"receiver {r} restarts", replace(world, known=known, restarts=world.restarts + 1), ""
-    if world.back < bounds.back and world.before[0] != world.revision:
+    if world.back < bounds.rollbacks and world.before[0] != world.revision:
         revision, record = world.before
         then = replace(world, revision=revision, record=record, back=world.back + 1)
         yield "the register loses its last write", then, ""
@@ -178,31 +179,35 @@
     return ""
 
 
-def _turn(world: World, n: int, bounds: Bounds, less: Less) -> Iterator[Next]:
+def _turn(world: World, n: int, bounds: Bounds, less: Omitted) -> Iterator[Next]:
     """What an owner may do: a step of its lease, or of its work."""
     now, lease, mind = clock(n, world.now, bounds), world.leases[n], world.minds[n]
     if not any(w.owner == n for w in world.writes):
         then, action = lease.step(now, CHANCE)
-        if isinstance(action, Look):
-            then = then.seen(now, world.revision, world.record, CHANCE)
+        if isinstance(action, ReadRecord):
+            then = then.record_read(now, world.revision, world.record, CHANCE)
             yield f"s{n} reads the register", replace(world, leases=_with(world.leases, n, then)), ""
-        elif isinstance(action, Swap) and len(world.writes) < bounds.out:
+        elif isinstance(action, WriteRecord) and len(world.writes) < bounds.in_flight:
             made = replace(world, leases=_with(world.leases, n, then),
                            writes=(*world.writes, Write(n, action.revision, action.record, -1)))  # fmt: skip
             yield f"s{n} writes term {action.record.term}, owner {action.record.owner or 'nobody'}", made, ""
-        told = lease.told(now, world.revision, world.record, CHANCE) if bounds.told and world.record else lease
+        told = (
+            lease.record_notified(now, world.revision, world.record, CHANCE)
+            if bounds.notified and world.record
+            else lease
+        )
         if told != lease:
             yield f"s{n} is told what the register holds", replace(world, leases=_with(world.leases, n, told)), ""
-        if isinstance(action, Rest) and then != lease:
+        if isinstance(action, Sleep) and then != lease:
             yield f"s{n} sees that its lease ran out", replace(world, leases=_with(world.leases, n, then)), ""
     holds = lease.holds(now)
     if holds and mind.token.term != lease.term:
-        fresh = Mind(0, Token(lease.term, lease.me), world.journal)
+        fresh = Mind(0, Token(lease.term, lease.candidate_id), world.journal)
         yield f"s{n} reads the journal: {world.journal} done", replace(world, minds=_with(world.minds, n, fresh)), ""
-    may = holds if Less.SECOND_LOOK not in less else mind.token != NOBODY
+    may = holds if Omitted.SECOND_LOOK not in less else mind.token != NO_TOKEN
     if may and mind.known >= 0 and (holds is False or mind.token.term == lease.term):
         step = mind.known + 1
-        if step <= bounds.steps and not mind.doing and len(world.sent) < bounds.out:
+        if step <= bounds.steps and not mind.doing and len(world.sent) < bounds.in_flight:
             for r in range(bounds.receivers):
                 then_mind = replace(mind, doing=step)
                 made = replace(world, minds=_with(world.minds, n, then_mind),
@@ -211,49 +216,49 @@
                 yield f"s{n} sends step {step} with term {mind.token.term} to receiver {r}", made, broken
 
 
-def _write(world: World, write: Write, bounds: Bounds, less: Less) -> Iterator[Next]:
+def _write(world: World, write: Write, bounds: Bounds, less: Omitted) -> Iterator[Next]:
     n, rest = write.owner, _without(world.writes, write)
     now, lease = clock(n, world.now, bounds), world.leases[n]
     if write.result == -1:
         if world.revision == write.revision:
             revision = world.last + 1  # never one that was there before
-            before = (world.revision, world.record) if bounds.back else (0, None)
+            before = (world.revision, world.record) if bounds.rollbacks else (0, None)
             made = replace(world, revision=revision, last=revision, record=write.record, before=before)
         else:
             revision, made, before = 0, world, world.before
         answer = replace(write, result=revision or None)
         yield (f"the register {'takes' if revision else 'turns down'} the write of s{n}",
                replace(made, writes=(*rest, answer)), "")  # fmt: skip
-        if world.lost < bounds.lost:
+        if world.lost < bounds.lost_answers:
             # The answer is given up; the write is carried out now, later, or never.
-            given_up = replace(world, leases=_with(world.leases, n, lease.swapped(now, Outcome.UNKNOWN, 0, CHANCE)),
-                               lost=world.lost + 1)  # fmt: skip
+            given_up = replace(world, leases=_with(
+                world.leases, n, lease.write_finished(now, Outcome.UNKNOWN, 0, CHANCE)), lost=world.lost + 1)  # fmt: skip
             yield f"s{n} gives up waiting, its write never arrives", replace(given_up, writes=rest), ""
             if revision:
                 late = replace(given_up, revision=revision, last=revision, record=write.record, writes=rest,
                                before=before)  # fmt: skip
                 yield f"the write of s{n} is done, its answer lost", late, ""
         return
-    outcome = Outcome.LOST if write.result is None else Outcome.DONE
-    if Less.BEFORE in less and outcome is Outcome.DONE:
-        lease = replace(lease, asked_at=now)
-    told = lease.swapped(now, outcome, write.result or 0, CHANCE)
+    outcome = Outcome.CONFLICT if write.result is None else Outcome.DONE
+    if Omitted.BEFORE in less and outcome is Outcome.DONE:
+        lease = replace(lease, written_at=now)
+    told = lease.write_finished(now, outcome, write.result or 0, CHANCE)
     then = replace(world, leases=_with(world.leases, n, told), writes=rest)
     yield f"s{n} hears that its write is {outcome.value}", then, _two_hold(then, bounds)
 
 
-def _arrive(world: World, sent: Sent, bounds: Bounds, less: Less) -> Iterator[Next]:
+def _arrive(world: World, sent: Sent, bounds: Bounds, less: Omitted) -> Iterator[Next]:
     """An effect reaches its receiver; its answer reaches the owner at once, or is lost."""
     r, rest = sent.receiver, _without(world.sent, sent)
     known = world.known[r]
     fence = Fence("the job", known)
-    if Less.CLAIM in less and sent.token.term == known.term:
+    if Omitted.CLAIM in less and sent.token.term == known.term:
         fence = Fence("the job", sent.token)
     refused = False
-    if Less.FENCE not in less:
+    if Omitted.FENCE not in less:
         try:
             fence.admit(sent.token)
-        except Refused:
+        except FencingError:
             refused = True
     here = replace(world, sent=rest)
     if refused:
@@ -288,7 +293,7 @@
     return (*all_of[:n], *all_of[n + 1 :])
 
 
-def drawn(found: Found, owners: int) -> str:
+def sequence_diagram(found: SearchResult, owners: int) -> str:
     """A history as a sequence, one column an owner, then the register and receivers."""
     columns = [*(f"s{n}" for n in range(owners)), "register", "receivers"]
     wide = 34
@@ -303,4 +308,4 @@
             lines.append("·" * (wide * len(columns) - 4) + " tick")
         else:
             lines.append(" " * (wide * at) + f"{n}. {said}")
-    return "\n".join([*lines, f"BROKEN: {found.broken}"])
+    return "\n".join([*lines, f"BROKEN: {found.violation}"])
--- a/stonetrack/emulator/host.py
+++ b/stonetrack/emulator/host.py
@@ -25,7 +25,7 @@
 from stonetrack.api import Role, ServerState
 from stonetrack.clocks import wall_time
 from stonetrack.discovery.history import History
-from stonetrack.discovery.keeping import new_origin
+from stonetrack.discovery.state_file import new_origin
 from stonetrack.emulator.engine import MS, WARM, Cut, Engine, Events, Fell, Note, Out, Reply, Spec
 from stonetrack.emulator.tap import Tap
 from stonetrack.engines import load, protocol
@@ -544,7 +544,7 @@
 
     def _tell(self, conn: Conn, after: int, origin: str) -> bool:
         """Tell what is newer; whether there was anything."""
-        news = self._history.news(after, origin)
+        news = self._history.document_since(after, origin)
         if news is None:
             return False
         states = {name: line["state"] for name, line in self._history.lines.items()}
--- a/stonetrack/fleet/model.py
+++ b/stonetrack/fleet/model.py
@@ -2,7 +2,8 @@
 
 Each node is a :class:`~stonetrack.bootstrap.polling.PollScheduler` and a
 :class:`~stonetrack.bootstrap.list_versions.VersionTracker`, the
-service the :class:`~stonetrack.discovery.turns.Turns` of the real one; what lies between them is a delay for each way.
+service the :class:`~stonetrack.discovery.admission.AdmissionQueue` of the real one; what lies
+between them is a delay for each way.
 What passes is written down in the links' words (:mod:`.links`), so that one judge reads both.
 """
 
@@ -17,7 +18,7 @@
 
 from stonetrack.bootstrap.list_versions import Decision, DocumentVersion, VersionTracker
 from stonetrack.bootstrap.polling import Poll, PollResult, PollScheduler, PollSettings
-from stonetrack.discovery.turns import ComeAgain, Turns
+from stonetrack.discovery.admission import AdmissionQueue, RetryLater
 from stonetrack.fleet.script import Script
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -56,7 +57,7 @@
         self._due: list[tuple[int, int, Callable[[], None]]] = []
         self.log: list[Record] = []
         service = script.lists
-        self._turns = Turns(service.lists_per_second, service.waiting)
+        self._turns = AdmissionQueue(service.lists_per_second, service.waiting)
         self._version, self._origin = 1, "h1"
         self._remembered = 1  # oldest version that changes can be told after
         self._polls: dict[int, _Poll] = {}  # by the question they put
@@ -114,7 +115,7 @@
                 self._origin, self._version = f"{self._origin}'", self._version + 1_000
             if what != "refuse":
                 self._remembered = self._version  # changes are remembered in memory
-                self._turns = Turns(self.script.lists.lists_per_second, self.script.lists.waiting)
+                self._turns = AdmissionQueue(self.script.lists.lists_per_second, self.script.lists.waiting)
             self._at(self._now + int(seconds * SECOND), self._back)
         elif what == "cut":
             self._silent = True
@@ -216,9 +217,9 @@
         size = self.script.list_bytes
         if knows:
             size = int(size * min(1.0, CHANGES_SHARE * max(1, self._version - question.after)))
-        turn = self._turns.arrive(self._now, node.name, size / self.script.list_bytes, question.wait)
-        if isinstance(turn, ComeAgain):
-            after = turn.after
+        turn = self._turns.admit(self._now, node.name, size / self.script.list_bytes, question.wait)
+        if isinstance(turn, RetryLater):
+            after = turn.retry_after_s
 
             def turned() -> None:
                 self._note("answer", node, status=503, retry_after=after, bytes=0)
@@ -236,4 +237,4 @@
             stamp = DocumentVersion(self._origin, self._version, question.after if knows else -1)
             self._send(lambda: self._heard(node, number, stamp, not knows, size))
 
-        self._at(turn.at, serve)
+        self._at(turn.send_at, serve)
--- a/stonetrack/fleet/rig.py
+++ b/stonetrack/fleet/rig.py
@@ -28,7 +28,7 @@
 from stonetrack.control.calls import ControlError
 from stonetrack.control.calls import call as control
 from stonetrack.durable import save
-from stonetrack.election.fence import Token
+from stonetrack.election.fencing import Token
 from stonetrack.emulator.host import Fleet
 from stonetrack.emulator.tap import Tap, read
 from stonetrack.engines import calls
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -399,7 +399,7 @@
 def test_histories_of_a_shut_out_and_what_its_protections_are_for(less: Less, bounds: Bounds, broken: str) -> None:
     """The rest, and larger bounds, by ``benchmarks/shutout.py``: no state within them breaks a promise."""
     found = explore(bounds, less)
-    assert broken in found.broken and bool(broken) == bool(found.history)
+    assert broken in found.violation and bool(broken) == bool(found.history)
 
 
 # Roll-outs.
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -17,16 +17,16 @@
 from stonetrack.control.calls import call as control
 from stonetrack.controller import jobs
 from stonetrack.controller.calls import Receivers
-from stonetrack.controller.captures import retained
-from stonetrack.controller.checking import Check, Checks, Tally
-from stonetrack.controller.jobs import Facts, Kind, Noted, Overtaken, Step, Wait
-from stonetrack.controller.maintenance import Maintenance, Roll, away
-from stonetrack.controller.publishing import Publish
-from stonetrack.controller.retaining import Retain, Retention
-from stonetrack.controller.rolling import RollOut, Rollout
-from stonetrack.controller.service import opened, rewritten
-from stonetrack.controller.settings import load_steward
-from stonetrack.election.fence import HEADER, Refused, Token
+from stonetrack.controller.captures import apply_retention
+from stonetrack.controller.health_checks import CheckTally, HealthCheckJob, HealthCheckSettings
+from stonetrack.controller.jobs import Facts, Job, JournalEntry, Step, Superseded, Wait
+from stonetrack.controller.maintenance import MaintenanceJob, MaintenanceSettings, withheld_engines
+from stonetrack.controller.publishing import PublishJob
+from stonetrack.controller.retention import RetentionJob, RetentionSettings
+from stonetrack.controller.rollout import RolloutJob, RolloutSettings
+from stonetrack.controller.service import open_store, rewrite_record
+from stonetrack.controller.settings import load_controller_settings
+from stonetrack.election.fencing import TOKEN_HEADER, FencingError, Token
 from stonetrack.engines import calls
 from stonetrack.engines.failure_hints import FailureHints
 from stonetrack.engines.server_list import EngineEntry
@@ -46,41 +46,47 @@
     return tuple({"name": n, "kind": kinds[n[0]], "cell": int(n[1]) % 2, "state": s} for n, s in states.items())
 
 
-def rolled(settings: Maintenance, service: float | None = None, seconds: int = 400) -> tuple[dict[str, Any], int, int]:
+def rolled(
+    settings: MaintenanceSettings, service: float | None = None, seconds: int = 400
+) -> tuple[dict[str, Any], int, int]:
     """A whole maintenance by a plain host: the last state, the most away at once, the steps."""
-    kind, state = Roll(settings), Roll(settings).begin()
+    kind, state = MaintenanceJob(settings), MaintenanceJob(settings).initial_state()
     stands = dict.fromkeys(("r0", "r1", "r2", "w0", "w1"), "up")
     most = steps = 0
     for at in range(seconds):
-        while isinstance(step := kind.next(state, Facts(float(at), lines(**stands), service=service)), Step):
+        while isinstance(step := kind.next_step(state, Facts(float(at), lines(**stands), service=service)), Step):
             stands[step.args["name"]] = step.args["state"]
-            state = kind.after(state, step, {}, float(at))
+            state = kind.state_after(state, step, {}, float(at))
             steps += 1
             most = max(most, sum(phase in ("draining", "out", "back") for phase, _ in state["engines"].values()))
     return state, most, steps
 
 
 def test_maintenance_takes_engines_out_one_budget_at_a_time_and_back() -> None:
-    settings = Maintenance(engines=("r0", "r1", "w0", "gone"), drain_s=5, out_s=20, warm_s=5)
+    settings = MaintenanceSettings(engines=("r0", "r1", "w0", "gone"), drain_s=5, out_s=20, warm_s=5)
     state, most, steps = rolled(settings)
     assert {n: p for n, (p, _) in state["engines"].items()} == {"r0": "done", "r1": "done", "w0": "done"}
     assert most == 2 and steps == 12  # r1 and w0: neither role nor cell is the same
-    assert rolled(Maintenance(engines=("r0", "r2", "w0"), drain_s=5, out_s=20, warm_s=5))[1] == 1  # one cell
-    settings = Maintenance(engines=("r0", "r1", "w0"), drain_s=5, out_s=20, warm_s=5, most_of_role=2, most_of_cell=2)
+    assert rolled(MaintenanceSettings(engines=("r0", "r2", "w0"), drain_s=5, out_s=20, warm_s=5))[1] == 1  # one cell
+    settings = MaintenanceSettings(
+        engines=("r0", "r1", "w0"), drain_s=5, out_s=20, warm_s=5, most_of_role=2, most_of_cell=2
+    )
     assert rolled(settings)[1] == 3
-    assert rolled(Maintenance(engines=("r0",)), service=0.5)[2] == 0  # halted
-    told = Roll(Maintenance(engines=("w0",))).next({"engines": {}}, Facts(0.0, lines(w0="up", r0="up")))
+    assert rolled(MaintenanceSettings(engines=("r0",)), service=0.5)[2] == 0  # halted
+    told = MaintenanceJob(MaintenanceSettings(engines=("w0",))).next_step(
+        {"engines": {}}, Facts(0.0, lines(w0="up", r0="up"))
+    )
     assert isinstance(told, Wait) and "last writer" in told.why
-    assert away({"engines": {"a": ["out", 1], "b": ["back", 1], "c": ["draining", 1]}}) == ("a", "c")
+    assert withheld_engines({"engines": {"a": ["out", 1], "b": ["back", 1], "c": ["draining", 1]}}) == ("a", "c")
 
 
 def test_lists_are_published_in_order_and_never_backwards() -> None:
-    kind = Publish()
+    kind = PublishJob()
     wanted = tuple({"number": n, "engines": [{"name": f"r{n}"}]} for n in (2, 5, 9))
-    state, numbers = kind.begin(), []
-    while isinstance(step := kind.next(state, Facts(0.0, wanted=wanted)), Step):
+    state, numbers = kind.initial_state(), []
+    while isinstance(step := kind.next_step(state, Facts(0.0, wanted=wanted)), Step):
         numbers.append(step.args["number"])
-        state = kind.after(state, step, {"version": len(numbers), "origin": "h1"}, 0.0)
+        state = kind.state_after(state, step, {"version": len(numbers), "origin": "h1"}, 0.0)
     assert numbers == [2, 5, 9] and state == {"last": 9, "version": 3, "origin": "h1"}
 
 
@@ -89,23 +95,25 @@
 def test_the_last_list_is_put_again_where_the_service_lost_it(origin: str, version: int, again: bool) -> None:
     wanted: tuple[dict[str, Any], ...] = tuple({"number": n, "engines": []} for n in (2, 5))
     state = {"last": 5, "version": 3, "origin": "h1"}
-    step = Publish().next(state, Facts(0.0, (), origin, version, wanted))
+    step = PublishJob().next_step(state, Facts(0.0, (), origin, version, wanted))
     assert isinstance(step, Step) == again
     if isinstance(step, Step):
         assert step.args["number"] == 5
 
 
 def test_retention_is_looked_at_now_and_then_whatever_the_clock_does() -> None:
-    kind = Retain(Retention(folder="x", every_s=60.0))
-    first = kind.next(kind.begin(), Facts(1_000.0))
+    kind = RetentionJob(RetentionSettings(folder="x", every_s=60.0))
+    first = kind.next_step(kind.initial_state(), Facts(1_000.0))
     assert isinstance(first, Step)
-    state = kind.after(kind.begin(), first, {"deleted": 3}, 1_000.0)
-    assert isinstance(kind.next(state, Facts(1_030.0)), Wait) and isinstance(kind.next(state, Facts(1_061.0)), Step)
-    assert isinstance(kind.next(state, Facts(500.0)), Step) and state["deleted"] == 3
+    state = kind.state_after(kind.initial_state(), first, {"deleted": 3}, 1_000.0)
+    assert isinstance(kind.next_step(state, Facts(1_030.0)), Wait) and isinstance(
+        kind.next_step(state, Facts(1_061.0)), Step
+    )
+    assert isinstance(kind.next_step(state, Facts(500.0)), Step) and state["deleted"] == 3
 
 
 def test_an_engine_that_fails_checks_is_published_once_and_never_more_than_the_share() -> None:
-    kind, tally = Check(Checks(every_s=1.0, fails=2, most_share=0.5)), Tally(2)
+    kind, tally = HealthCheckJob(HealthCheckSettings(every_s=1.0, fails=2, most_share=0.5)), CheckTally(2)
     stands = dict.fromkeys(("r0", "r1", "r2", "r3"), 0.0)
 
     def round_(at: float, *bad: str) -> list[tuple[str, float]]:
@@ -113,7 +121,7 @@
         made: list[tuple[str, float]] = []
         while True:
             listed = tuple({"name": n, "kind": "reader", "failing": f} for n, f in stands.items())
-            step = kind.next(kind.begin(), Facts(at, listed, failing=known))
+            step = kind.next_step(kind.initial_state(), Facts(at, listed, failing=known))
             if not isinstance(step, Step):
                 return made
             stands[step.args["name"]] = step.args["failing"]
@@ -145,53 +153,55 @@
 @pytest.mark.parametrize("killed", range(4))
 def test_a_successor_goes_on_in_the_middle_and_skips_nothing(killed: int) -> None:
     """An owner killed before the note, between note and effect, between effect and note, after."""
-    kind: Kind = Publish()
+    kind: Job = PublishJob()
     facts = Facts(0.0, wanted=tuple({"number": n, "engines": []} for n in (1, 2, 3)))
-    journal: Noted | None = None
+    journal: JournalEntry | None = None
     done: list[int] = []
     for term in range(1, 20):
-        noted = jobs.taken_up(journal, kind, Token(term, f"s{term}"), 0.0)
+        noted = jobs.resume(journal, kind, Token(term, f"s{term}"), 0.0)
         for part in range(8):
             if part == killed:
                 break  # it dies; the next owner takes over
-            step = noted.begun or kind.next(noted.state, facts)
+            step = noted.begun or kind.next_step(noted.state, facts)
             if isinstance(step, Wait):
                 break
             if noted.begun is None:
-                journal = noted = jobs.begun(noted, step, 0.0)
+                journal = noted = jobs.begin_step(noted, step, 0.0)
                 continue
             done.append(step.args["number"])
             if part + 1 == killed:
                 break  # the effect was carried out and nobody noted it
-            journal = noted = jobs.done(noted, kind, {}, 0.0)
+            journal = noted = jobs.finish_step(noted, kind, {}, 0.0)
     if killed > 2:
         assert list(dict.fromkeys(done)) == [1, 2, 3] and journal is not None and journal.number == 3
     assert done == sorted(done)
 
 
 def test_an_older_owner_does_not_take_up_a_journal() -> None:
-    noted = Noted(4, "s1", {"last": 1, "version": 1})
-    with pytest.raises(Overtaken, match="term 4 of s1"):
-        jobs.taken_up(noted, Publish(), Token(3, "s0"), 0.0)
-    with pytest.raises(Overtaken):
-        jobs.taken_up(noted, Publish(), Token(4, "s0"), 0.0)  # a register that lost a write
-    assert jobs.taken_up(noted, Publish(), Token(5, "s0"), 0.0).state == noted.state
+    noted = JournalEntry(4, "s1", {"last": 1, "version": 1})
+    with pytest.raises(Superseded, match="term 4 of s1"):
+        jobs.resume(noted, PublishJob(), Token(3, "s0"), 0.0)
+    with pytest.raises(Superseded):
+        jobs.resume(noted, PublishJob(), Token(4, "s0"), 0.0)  # a register that lost a write
+    assert jobs.resume(noted, PublishJob(), Token(5, "s0"), 0.0).state == noted.state
 
 
 @pytest.mark.parametrize("apart", [-3_600.0, 0.0, 3_600.0])
 def test_a_successors_clock_ends_no_phase_early(apart: float) -> None:
     """Whoever takes over, by whatever clock: an engine stays out for its time, counted anew from the last line."""
-    kind = Roll(Maintenance(engines=("r0",), out_s=60.0))
-    noted = Noted(1, "s0", {"engines": {"r0": ["out", 1_000.0]}}, at=1_010.0)
-    mine = jobs.taken_up(noted, kind, Token(1, "s0"), 1_020.0)
+    kind = MaintenanceJob(MaintenanceSettings(engines=("r0",), out_s=60.0))
+    noted = JournalEntry(1, "s0", {"engines": {"r0": ["out", 1_000.0]}}, at=1_010.0)
+    mine = jobs.resume(noted, kind, Token(1, "s0"), 1_020.0)
     assert mine.state == noted.state and mine.at == 1_010.0
     now = 1_040.0 + apart  # of the successor's clock; 30 s after that line
-    taken = jobs.taken_up(noted, kind, Token(2, "s1"), now)
+    taken = jobs.resume(noted, kind, Token(2, "s1"), now)
     stands = lines(r0="draining", r1="up")
     for after, over in ((0.0, False), (49.0, False), (51.0, True)):  # 10 of its 60 s were known to be over
-        step = kind.next(taken.state, Facts(now + after, stands))
+        step = kind.next_step(taken.state, Facts(now + after, stands))
         assert (isinstance(step, Step) and step.args["state"] == "up") == over
-    staged = RollOut(Rollout()).shifted({**RollOut(Rollout()).begin(), "since": 1_000.0}, apart)
+    staged = RolloutJob(RolloutSettings()).shift_times(
+        {**RolloutJob(RolloutSettings()).initial_state(), "since": 1_000.0}, apart
+    )
     assert staged["since"] == 1_000.0 + apart
 
 
@@ -199,7 +209,11 @@
     state = {"engines": {"r0": ["out", 0.0], "r1": ["done", 0.0], "w0": ["draining", 0.0]}}
     back = Step("change", {"name": "r0", "phase": "back", "state": "up"})
     out = Step("change", {"name": "w1", "phase": "draining", "state": "draining"})
-    assert away(state) == ("r0", "w0") and away(state, back) == ("w0",) and away(state, out) == ("r0", "w0", "w1")
+    assert (
+        withheld_engines(state) == ("r0", "w0")
+        and withheld_engines(state, back) == ("w0",)
+        and withheld_engines(state, out) == ("r0", "w0", "w1")
+    )
 
 
 # Receivers.
@@ -208,20 +222,21 @@
 def test_every_effect_meets_a_fence_and_every_step_says_why_it_may_be_repeated(tmp_path: Path) -> None:
     """Lists every effect there is: one without a fence fails here."""
     state = {"engines": {"r0": ["out", 0.0]}}
-    kinds: list[tuple[Kind, dict[str, Any], Facts]] = [
-        (Publish(), Publish().begin(), Facts(0.0, wanted=({"number": 1, "engines": []},))),
-        (Roll(Maintenance(engines=("r0",))), state, Facts(9e9, lines(r0="draining"))),
-        (Check(Checks(every_s=1.0)), {}, Facts(9e9, tuple({"name": n, "kind": "reader"} for n in "abcdef"),
-                                               failing={"a": 8e9})),
-        (Retain(Retention(folder=str(tmp_path))), Retain(Retention()).begin(), Facts(9e9)),
-        *((RollOut(Rollout(most_s=most)), {**RollOut(Rollout()).begin(), "number": number}, Facts(
-            9e9, versions=({"number": 1, "content": {}, "kind": "rule"},), nodes=tuple(rows(number))))
+    kinds: list[tuple[Job, dict[str, Any], Facts]] = [
+        (PublishJob(), PublishJob().initial_state(), Facts(0.0, wanted=({"number": 1, "engines": []},))),
+        (MaintenanceJob(MaintenanceSettings(engines=("r0",))), state, Facts(9e9, lines(r0="draining"))),
+        (HealthCheckJob(HealthCheckSettings(every_s=1.0)), {},
+         Facts(9e9, tuple({"name": n, "kind": "reader"} for n in "abcdef"), failing={"a": 8e9})),
+        (RetentionJob(RetentionSettings(folder=str(tmp_path))),
+         RetentionJob(RetentionSettings()).initial_state(), Facts(9e9)),
+        *((RolloutJob(RolloutSettings(most_s=most)), {**RolloutJob(RolloutSettings()).initial_state(), "number": number},
+           Facts(9e9, versions=({"number": 1, "content": {}, "kind": "rule"},), nodes=tuple(rows(number))))
           for number, most in ((0, 1e5), (2, 1e5), (2, 1.0))),
     ]  # fmt: skip
-    found_of_rollouts = [kind.next(before, facts) for kind, before, facts in kinds[-3:]]
+    found_of_rollouts = [kind.next_step(before, facts) for kind, before, facts in kinds[-3:]]
     assert [step.what for step in found_of_rollouts if isinstance(step, Step)] == ["publish", "rollback", "rollback"]
     kinds[-2] = (kinds[-2][0], kinds[-2][1], Facts(9e9, nodes=tuple(rows(2, served=900))))
-    found = [kind.next(before, facts) for kind, before, facts in kinds]
+    found = [kind.next_step(before, facts) for kind, before, facts in kinds]
     steps = {step.what: step for step in found if isinstance(step, Step)}
     assert set(steps) == set(Receivers.EFFECTS) and all(step.harmless for step in steps.values())
     text = json.dumps({"listen": {"port": 0}, "state_dir": str(tmp_path / "lists"), "may_put": True})
@@ -237,10 +252,10 @@
                     status, answer = call(service.address, method, asked, old)
                     assert status == 409 and answer["known"] == {"term": 7, "owner": "s1/b"}
                 assert call(service.address, method, asked, "seven")[0] == 400
-    retained(tmp_path, 1 << 20, Token(7, "s1/b"))
+    apply_retention(tmp_path, 1 << 20, Token(7, "s1/b"))
     for token in (Token(6, "s0/a"), Token(7, "s0/a"), None):
-        with pytest.raises(Refused):
-            retained(tmp_path, 1 << 20, token)
+        with pytest.raises(FencingError):
+            apply_retention(tmp_path, 1 << 20, token)
     (tmp_path / "control.json").write_text(json.dumps({"listen": {"port": 0}, "state_dir": str(tmp_path / "control")}))
     effects = [("PUT", "/settings", {"content": {}, "share": 0.1}), ("POST", "/stage", {"number": 1, "share": 0.2}),
                ("POST", "/rollback", {"number": 1})]  # fmt: skip
@@ -262,7 +277,7 @@
 
 
 def call(at: tuple[str, int], method: str, body: bytes, owner: str) -> tuple[int, dict[str, Any]]:
-    headers = [("Host", "t"), ("Connection", "close"), *([(HEADER, owner)] if owner else [])]
+    headers = [("Host", "t"), ("Connection", "close"), *([(TOKEN_HEADER, owner)] if owner else [])]
     status, answer = calls.call(*at, writer.request(method, "/engines", headers, body), 5.0)
     return status, json.loads(answer)
 
@@ -290,7 +305,7 @@
 )
 def test_settings_that_cannot_be_say_what_is_allowed(tmp_path: Path, wrong: dict[str, Any], said: str) -> None:
     with pytest.raises(SettingsError, match=said):
-        load_steward(settings_of(tmp_path, **wrong))
+        load_controller_settings(settings_of(tmp_path, **wrong))
 
 
 def test_people_see_who_owns_pause_hand_over_and_raise_the_term(tmp_path: Path) -> None:
@@ -313,8 +328,8 @@
         assert "asked to hand over" in said("hand-over", "--to", "s1", str(path))
     assert said("history", str(path)).count("term") >= 2 and "owner" in said("ls", str(path))
     assert "term 42" in said("resume", "--past", "41", str(path))
-    register = opened(load_steward(path))
-    assert rewritten(register, "fleet", lambda r: r).term == 42
+    register = open_store(load_controller_settings(path))
+    assert rewrite_record(register, "fleet", lambda r: r).term == 42
     register.close()
     assert said("jobs", str(path)) == ""
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,11 +16,11 @@
 from hypothesis import strategies as st
 
 from stonetrack.api import Role
+from stonetrack.discovery.admission import AdmissionQueue, Admitted, RetryLater
 from stonetrack.discovery.history import History, LinesError
-from stonetrack.discovery.keeping import FILE, KeepingError, keep, restore
 from stonetrack.discovery.service import Service
-from stonetrack.discovery.settings import Lists, load_lists
-from stonetrack.discovery.turns import ComeAgain, Turn, Turns
+from stonetrack.discovery.settings import DiscoverySettings, load_discovery_settings
+from stonetrack.discovery.state_file import FILE, StateFileError, load_state, save_state
 from stonetrack.engines.calls import call, exchange
 from stonetrack.engines.server_list import ServerListState
 from stonetrack.frontend.host import listen
@@ -60,27 +60,32 @@
         if n in stops:
             followers.append(ServerListState(KINDS))
         for follower in followers[: 1 + n % 3]:  # some fall behind
-            told = history.news(follower.version, follower.origin)
+            told = history.document_since(follower.version, follower.origin)
             if told is not None:
                 follower.apply_json(told.body, 0)
             assert follower.version == history.version
             assert {k: v.weight for k, v in follower.entries.items()} == {
                 k: float(v.get("weight", 1.0)) for k, v in history.lines.items()
             }
-    whole_list = history.whole()
-    assert history.news(history.version, "h") is None and history.news(history.version, "other") == whole_list
-    assert history.news(history.oldest - 1, "h") == whole_list
-    assert history.news(history.version + 1, "h") == whole_list and history.overtaken(history.version + 1, "h")
+    whole_list = history.full()
+    assert (
+        history.document_since(history.version, "h") is None
+        and history.document_since(history.version, "other") == whole_list
+    )
+    assert history.document_since(history.oldest_base - 1, "h") == whole_list
+    assert history.document_since(history.version + 1, "h") == whole_list and history.client_is_ahead(
+        history.version + 1, "h"
+    )
 
 
 def test_a_document_is_encoded_once_for_all_and_forgotten_with_its_version() -> None:
     history = History("h", 1, [line(f"e{n}") for n in range(50)])
     history.change([line("e1", weight=2.0)])
-    first, second = history.news(1, "h"), history.news(1, "h")
-    assert first is not None and second is not None and first.body is second.body and not first.whole
-    assert history.whole().body is history.whole().body and len(first.body) * 10 < len(history.whole().body)
+    first, second = history.document_since(1, "h"), history.document_since(1, "h")
+    assert first is not None and second is not None and first.body is second.body and not first.full
+    assert history.full().body is history.full().body and len(first.body) * 10 < len(history.full().body)
     history.change([line("e2", weight=2.0)])
-    again = history.news(1, "h")
+    again = history.document_since(1, "h")
     assert again is not None and again.body is not first.body
 
 
@@ -96,60 +101,60 @@
     history = History("h", 1, most=5)
     for n in range(3_000):
         history.put([line(f"e{n}"), *(line(f"stays{m}") for m in range(20))])
-    assert len(history._gone) <= 1_100
-    told = history.news(history.version - 2, "h")
+    assert len(history._removed) <= 1_100
+    told = history.document_since(history.version - 2, "h")
     assert told is not None and b"removed" in told.body
 
 
-# Turns.
+# AdmissionQueue.
 
 
 def test_documents_leave_at_the_pace_given_and_who_would_wait_too_long_comes_again_in_its_own_second() -> None:
-    turns = Turns(10.0, 8.0)
-    given_turns = [turns.arrive(0, f"n{n}", 1.0) for n in range(50)]
-    served = [t.at for t in given_turns if isinstance(t, Turn)]
+    turns = AdmissionQueue(10.0, 8.0)
+    given_turns = [turns.admit(0, f"n{n}", 1.0) for n in range(50)]
+    served = [t.send_at for t in given_turns if isinstance(t, Admitted)]
     assert served == [n * SECOND // 10 for n in range(9)]  # one goes out at once, eight wait
-    later = [t.after for t in given_turns if isinstance(t, ComeAgain)]
-    assert turns.turned_away == 41 and later == sorted(later)
+    later = [t.retry_after_s for t in given_turns if isinstance(t, RetryLater)]
+    assert turns.rejected == 41 and later == sorted(later)
     assert max(later.count(second) for second in later) <= 9  # as many as may wait
-    assert all(isinstance(turns.arrive(a * SECOND, f"m{n}", 1.0), Turn) for n, a in enumerate(later))
+    assert all(isinstance(turns.admit(a * SECOND, f"m{n}", 1.0), Admitted) for n, a in enumerate(later))
 
 
 def test_a_node_that_asks_in_a_loop_takes_no_other_nodes_place() -> None:
-    turns = Turns(10.0, 8.0)
-    greedy = [turns.arrive(0, "greedy", 1.0) for _ in range(100)]
-    assert sum(isinstance(t, Turn) for t in greedy) == 2
-    others = [turns.arrive(0, f"n{n}", 1.0) for n in range(6)]
-    assert all(isinstance(t, Turn) for t in others)
+    turns = AdmissionQueue(10.0, 8.0)
+    greedy = [turns.admit(0, "greedy", 1.0) for _ in range(100)]
+    assert sum(isinstance(t, Admitted) for t in greedy) == 2
+    others = [turns.admit(0, f"n{n}", 1.0) for n in range(6)]
+    assert all(isinstance(t, Admitted) for t in others)
     turns.done("greedy")
     turns.done("greedy")
-    assert isinstance(turns.arrive(10 * SECOND, "greedy", 1.0), Turn)
+    assert isinstance(turns.admit(10 * SECOND, "greedy", 1.0), Admitted)
 
 
 def test_changes_cost_what_their_size_is_and_who_can_wait_is_not_sent_away() -> None:
-    turns = Turns(10.0, 8.0)
-    waits = [turns.arrive(0, f"n{n}", 0.05, patience=20 * SECOND) for n in range(400)]
-    assert all(isinstance(t, Turn) for t in waits)
-    assert waits[-1] == Turn(399 * SECOND // 200)
-    assert isinstance(turns.arrive(0, "late", 1.0), ComeAgain)
+    turns = AdmissionQueue(10.0, 8.0)
+    waits = [turns.admit(0, f"n{n}", 0.05, patience=20 * SECOND) for n in range(400)]
+    assert all(isinstance(t, Admitted) for t in waits)
+    assert waits[-1] == Admitted(399 * SECOND // 200)
+    assert isinstance(turns.admit(0, "late", 1.0), RetryLater)
 
 
 # Keeping.
 
 
 def test_a_version_is_never_counted_twice_and_a_lost_folder_begins_another_history(tmp_path: Path) -> None:
-    first = restore(tmp_path, lambda: 1_000, 10)[0]
+    first = load_state(tmp_path, lambda: 1_000, 10)[0]
     assert first.version == 1_000
     first.put([line("a")])
-    keep(tmp_path, first.origin, first.version, first.lines)
-    second = restore(tmp_path, lambda: 5, 10)[0]
+    save_state(tmp_path, first.origin, first.version, first.lines)
+    second = load_state(tmp_path, lambda: 5, 10)[0]
     assert (second.origin, second.version, set(second.lines)) == (first.origin, 1_001, {"a"})
     (tmp_path / FILE).unlink()
-    third = restore(tmp_path, lambda: 2_000, 10)[0]
+    third = load_state(tmp_path, lambda: 2_000, 10)[0]
     assert third.origin != first.origin and third.version == 2_000
     (tmp_path / FILE).write_bytes(b'{"origin": "x"')
-    with pytest.raises(KeepingError, match="mend it"):
-        restore(tmp_path, lambda: 1, 10)[0]
+    with pytest.raises(StateFileError, match="mend it"):
+        load_state(tmp_path, lambda: 1, 10)[0]
 
 
 # Sockets.
@@ -163,7 +168,7 @@
     listener = listen("127.0.0.1", 0, 128)
     port: int = listener.getsockname()[1]
     said: list[str] = []
-    made = Service(Lists(**given_settings), listener, lambda text, **fields: said.append(text))
+    made = Service(DiscoverySettings(**given_settings), listener, lambda text, **fields: said.append(text))
     made.start()
     try:
         yield made, port
@@ -294,7 +299,7 @@
         def full(*_: Any) -> None:
             raise OSError(28, "No space left on device")
 
-        monkeypatch.setattr("stonetrack.discovery.service.keep", full)
+        monkeypatch.setattr("stonetrack.discovery.service.save_state", full)
         status, answer = put(port, [line("b")])
         assert status == 500 and "No space" in answer["error"]
         at = f"?after={whole['version']}&origin={whole['origin']}"
@@ -316,4 +321,4 @@
                        ('{"state_dir": "s", "file": "x", "waiting": 0}', "waiting")):  # fmt: skip
         path.write_text(text)
         with pytest.raises(SettingsError, match=said):
-            load_lists(path)
+            load_discovery_settings(path)
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -14,8 +14,8 @@
 from stonetrack import durable
 from stonetrack.audit import keeping
 from stonetrack.audit.account import Acting
-from stonetrack.cas_store.embedded import Embedded
-from stonetrack.cas_store.ports import RegisterError, Unknown
+from stonetrack.cas_store.embedded import EmbeddedStore
+from stonetrack.cas_store.ports import StoreError, UnknownOutcome
 from stonetrack.durable import save
 
 STEPS = ("open", "write", "fsync", "replace", "folder")
@@ -237,13 +237,13 @@
     tmp_path: Path, step: str, unknown: bool
 ) -> None:
     """A failed commit may be on disk or not: the lease must count neither as lost nor as held."""
-    register = Embedded(tmp_path / "register")
-    assert register.swap("k", 0, b"a") == 1
+    register = EmbeddedStore(tmp_path / "register")
+    assert register.compare_and_set("k", 0, b"a") == 1
     store = register._store
     register._store = _FailingStore(store, step)  # type: ignore[assignment]
-    with pytest.raises(RegisterError) as raised:
-        register.swap("k", 1, b"b")
-    assert isinstance(raised.value, Unknown) == unknown
+    with pytest.raises(StoreError) as raised:
+        register.compare_and_set("k", 1, b"b")
+    assert isinstance(raised.value, UnknownOutcome) == unknown
     register._store = store
-    assert register.read("k").value == b"a" and register.swap("k", 1, b"c") == 2
+    assert register.read("k").value == b"a" and register.compare_and_set("k", 1, b"c") == 2
     register.close()
