--- a/stonetrack/election/lease.py
+++ b/stonetrack/election/lease.py
@@ -223,7 +223,8 @@
         if now >= self.next_read_at:
             renewed = replace_record(self.record, beats=self.record.beats + 1, wanted="")
             return replace(self, pending=renewed, written_at=now,
-                           next_read_at=now + self.times.renewal_interval), WriteRecord(self.revision, renewed)  # fmt: skip
+                           next_read_at=now + self.times.renewal_interval), WriteRecord(
+                self.revision, renewed)  # fmt: skip
         return self, Sleep(min(self.next_read_at, self.held_until))
 
     def _watch(self, now: int, why: str) -> Lease:
--- a/stonetrack/election/model_checker.py
+++ b/stonetrack/election/model_checker.py
@@ -232,7 +232,8 @@
         if world.lost < bounds.lost_answers:
             # The answer is given up; the write is carried out now, later, or never.
             given_up = replace(world, leases=_with(
-                world.leases, n, lease.write_finished(now, Outcome.UNKNOWN, 0, CHANCE)), lost=world.lost + 1)  # fmt: skip
+                world.leases, n, lease.write_finished(now, Outcome.UNKNOWN, 0, CHANCE)),
+                lost=world.lost + 1)  # fmt: skip
             yield f"s{n} gives up waiting, its write never arrives", replace(given_up, writes=rest), ""
             if revision:
                 late = replace(given_up, revision=revision, last=revision, record=write.record, writes=rest,
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -229,7 +229,8 @@
          Facts(9e9, tuple({"name": n, "kind": "reader"} for n in "abcdef"), failing={"a": 8e9})),
         (RetentionJob(RetentionSettings(folder=str(tmp_path))),
          RetentionJob(RetentionSettings()).initial_state(), Facts(9e9)),
-        *((RolloutJob(RolloutSettings(most_s=most)), {**RolloutJob(RolloutSettings()).initial_state(), "number": number},
+        *((RolloutJob(RolloutSettings(most_s=most)),
+           {**RolloutJob(RolloutSettings()).initial_state(), "number": number},
            Facts(9e9, versions=({"number": 1, "content": {}, "kind": "rule"},), nodes=tuple(rows(number))))
           for number, most in ((0, 1e5), (2, 1e5), (2, 1.0))),
     ]  # fmt: skip
