--- a/stonetrack/bootstrap/__init__.py
+++ b/stonetrack/bootstrap/__init__.py
@@ -1,7 +1,8 @@
-"""How a node begins and keeps up with its server list among hundreds that do the same.
+"""How a node obtains its server list and keeps it current, in a fleet of hundreds of nodes that do the same.
 
-:mod:`.asking` decides when the list service is asked and for what, :mod:`.holding` which document comes into force,
-:mod:`.stages` what a node that does not know enough yet may do.  Inputs: times, answers, documents' versions.
-Outputs: when to ask next, what to take, whether to serve.
+:mod:`.polling` decides when to poll the discovery service and for what, :mod:`.list_versions` which document comes
+into force, :mod:`.gradual_changes` how quickly, :mod:`.readiness_stages` what a node without a current list may do.
+Inputs: times, poll results, versions of documents.
+Outputs: time and parameters of the next poll, documents to accept, readiness.
 Must not depend on: sockets, threads, clocks, or requests.
 """
--- a/stonetrack/bootstrap/gradual_changes.py
+++ b/stonetrack/bootstrap/gradual_changes.py
@@ -1,18 +1,17 @@
-"""A list that changes much at once comes into force in steps.
-
-Each node takes a new list within the same second as all others, so what a step costs is paid by the whole fleet at
-once: every engine that is new takes its share of all shared beginnings, which are read anew there, and a list without
-its engines (a service that lost its source, an empty file) would end service everywhere.
-
-- *New engines* come in steps of a share of those in force (``added_share``, ``SMALL_CHANGE`` at least), ``interval``
-  apart.  In which order is the list's, the same on all nodes: what one node sends to a new engine, all do, and only
-  those read anew.  The first list of all comes at once, since nothing kept is lost.
-- *Engines that are gone without having been told as leaving*, if they are more than ``removed_share`` of those in force
-  in their role (and more than ``SMALL_CHANGE``), stay in force until the service says the same again,
-  ``CONFIRM_DELAY_NS`` later at the earliest.
-  Guards against an empty list; acts on a mass of engines that vanish from one version to the next; could harm
-  where they are truly gone: requests are sent to engines that refuse them, which the router finds out by itself.
-- Whatever leaves by being told (``draining``, ``removed``) leaves at once, however many.
+"""Large changes of the server list take effect in steps.
+
+All nodes get a new list within the same second, so the whole fleet pays for a change at once: each new engine gets its
+part of all shared prefixes, which have to be prefilled again there, and a list that lacks its engines (a service that
+lost its source, an empty file) would end service everywhere.
+
+- *New engines* are added in steps ``interval`` apart, each up to a share (``added_share``) of the engines in force, at
+  least ``SMALL_CHANGE``.  They are added in the order of the list, so all nodes add the same engines, and only these
+  prefill again.  The first list takes effect at once, because no prefix is cached yet.
+- *Engines that disappear without having been reported as leaving* stay in force if they are more than ``removed_share``
+  of the engines of their kind (and more than ``SMALL_CHANGE``), until the service confirms the list, at the earliest
+  after ``CONFIRM_DELAY_NS``.  This guards against an empty list.  If the engines have really left, requests are sent to
+  engines that refuse them, which the router detects by itself.
+- Engines that are reported as leaving (``draining``, ``removed``) leave at once, however many.
 """
 
 from __future__ import annotations
@@ -24,13 +23,13 @@
 from stonetrack.api import ServerEntry, ServerState
 
 SECOND = 1_000_000_000
-SMALL_CHANGE = 8  # engines: below it nothing is a mass
+SMALL_CHANGE = 8  # number of engines up to which a change takes effect at once
 CONFIRM_DELAY_NS = 5 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class StepSettings:
-    """What the settings allow; ``share`` 0 takes every list whole, ``gone`` 1 believes every list."""
+    """Limits from the settings; ``added_share`` 0 adds all engines at once, ``removed_share`` 1 trusts every list."""
 
     added_share: float = 0.25
     interval: int = SECOND
@@ -38,77 +37,81 @@
 
 
 class GradualServerList:
-    """See the module.  ``in_force`` is what the router is told."""
+    """A server list that takes effect in steps; ``in_force`` is the part in effect.  Times are in nanoseconds."""
 
-    def __init__(self, pace: StepSettings) -> None:
-        self._pace = pace
+    def __init__(self, settings: StepSettings) -> None:
+        self._settings = settings
         self.in_force: dict[str, ServerEntry] = {}
         self._target: dict[str, ServerEntry] = {}
-        self._kept: dict[str, int] = {}  # gone from the target, held in force: since when
-        self._next_at = 0
+        self._kept: dict[str, int] = {}  # engines in force that the target lacks, and since when
+        self._next_step_at = 0
         self.pending_additions = 0  # new engines that are not in force yet
 
     @property
     def unconfirmed_removals(self) -> int:
-        """Engines that are gone from the list and stay in force until it is confirmed."""
+        """Number of engines that disappeared from the list and stay in force until it is confirmed."""
         return len(self._kept)
 
     @property
     def in_progress(self) -> bool:
-        """Whether the list is not wholly in force."""
+        """Whether a part of the list is not in force yet."""
         return bool(self.pending_additions or self._kept)
 
-    def set_target(self, target: Mapping[str, ServerEntry], told: frozenset[str], now: int) -> None:
-        """A list came.  ``told`` are the names that it, or one before it, said to be leaving."""
+    def set_target(self, target: Mapping[str, ServerEntry], leaving: frozenset[str], now: int) -> None:
+        """Set a new list; ``leaving`` are the names that it, or one before it, reported as leaving."""
         first = not self.in_force
         self._target = dict(target)
-        gone = {n for n in self.in_force if n not in target}
-        old = {n for n, since in self._kept.items() if now - since >= CONFIRM_DELAY_NS}
-        believed = {n for n in gone if n in told or n in old or self.in_force[n].state is not ServerState.UP}
-        self._kept = {n: self._kept.get(n, now) for n in self._mass(gone - believed)}
+        missing = {n for n in self.in_force if n not in target}
+        overdue = {n for n, since in self._kept.items() if now - since >= CONFIRM_DELAY_NS}
+        accepted = {n for n in missing if n in leaving or n in overdue or self.in_force[n].state is not ServerState.UP}
+        self._kept = {n: self._kept.get(n, now) for n in self._mass_removal(missing - accepted)}
         self.in_force = {
             n: target.get(n, entry) for n, entry in self.in_force.items() if n in target or n in self._kept
         }
-        if first or not self._pace.added_share:
+        if first or not self._settings.added_share:
             self.in_force |= target
-        elif any(n not in self.in_force for n in target) and self._next_at <= now:
+        elif any(n not in self.in_force for n in target) and self._next_step_at <= now:
             self._step(now)
-        self._count()
+        self._count_pending()
 
     def confirmed(self, now: int) -> bool:
-        """The service says that the list still holds; whether what is in force changed."""
-        gone = [n for n, since in self._kept.items() if now - since >= CONFIRM_DELAY_NS]
-        for name in gone:
+        """The service has confirmed the list; return whether the list in force changed."""
+        expired = [n for n, since in self._kept.items() if now - since >= CONFIRM_DELAY_NS]
+        for name in expired:
             del self._kept[name]
             self.in_force.pop(name, None)
-        return bool(gone)
+        return bool(expired)
 
     def due(self) -> int | None:
-        """When :meth:`tick` has something to do; None for never."""
-        return self._next_at if self.pending_additions else None
+        """Return the time of the next step for :meth:`tick`; None if there is none."""
+        return self._next_step_at if self.pending_additions else None
 
     def tick(self, now: int) -> bool:
-        """Take a step that is due; whether what is in force changed."""
-        if not self.pending_additions or now < self._next_at:
+        """Take a step that is due; return whether the list in force changed."""
+        if not self.pending_additions or now < self._next_step_at:
             return False
         self._step(now)
-        self._count()
+        self._count_pending()
         return True
 
-    def _count(self) -> None:
+    def _count_pending(self) -> None:
         self.pending_additions = sum(n not in self.in_force for n in self._target)
 
     def _step(self, now: int) -> None:
         up = sum(entry.state is ServerState.UP for entry in self.in_force.values())
-        most = max(SMALL_CHANGE, int(self._pace.added_share * up))
-        fresh = [n for n in self._target if n not in self.in_force][:most]
-        self.in_force |= {n: self._target[n] for n in fresh}
-        self._next_at = now + self._pace.interval
-
-    def _mass(self, gone: set[str]) -> set[str]:
-        """Those that belong to a role of which too many would be gone at once."""
-        if len(gone) <= SMALL_CHANGE:
+        limit = max(SMALL_CHANGE, int(self._settings.added_share * up))
+        added = [n for n in self._target if n not in self.in_force][:limit]
+        self.in_force |= {n: self._target[n] for n in added}
+        self._next_step_at = now + self._settings.interval
+
+    def _mass_removal(self, missing: set[str]) -> set[str]:
+        """Return the engines of kinds that would lose too many engines at once."""
+        if len(missing) <= SMALL_CHANGE:
             return set()
-        had = Counter(e.kind for e in self.in_force.values() if e.state is ServerState.UP)
-        lost = Counter(self.in_force[n].kind for n in gone)
-        return {n for n in gone if lost[self.in_force[n].kind] > self._pace.removed_share * had[self.in_force[n].kind]}
+        before = Counter(e.kind for e in self.in_force.values() if e.state is ServerState.UP)
+        lost = Counter(self.in_force[n].kind for n in missing)
+        return {
+            n
+            for n in missing
+            if lost[self.in_force[n].kind] > self._settings.removed_share * before[self.in_force[n].kind]
+        }
--- a/stonetrack/bootstrap/polling.py
+++ b/stonetrack/bootstrap/polling.py
@@ -1,30 +1,30 @@
-"""When a node asks the list service, and for what: a state machine without I/O, one for each process.
-
-The rule behind all of it: what one node does, all nodes of the fleet do, and they do it from the same causes.  So no
-pause is a fixed time after something that all of them see at once.
-
-- A fleet of N nodes at a service that bears R whole lists a second needs N / R seconds.  That, and a little
-  (``SPREAD_MARGIN``), is the *spread*: the first question goes out at a moment drawn from it, and so does the first
-  one after a failure that all may have seen at once.
-- From then on a failure is followed by a question a whole *period* later.  The moments drawn stay apart through an
-  outage of any length, and whenever the service is back the fleet comes by evenly within one period.  Pauses that
-  double would bring most nodes back late, pauses drawn anew (full jitter) most of them early: the time left of a drawn
-  pause is not evenly spread.  Nor is it where a node draws again because the trouble changed its kind.
-- A period is at least ``FAILURE_PERIOD_NS`` where the service is troubled by the question (a time-out, a reset, a
-  document that
-  can't be used); where nobody listens at its address, which costs it nothing, at least ``UNREACHABLE_PERIOD_NS``.
-- ``Retry-After`` is obeyed, within bounds: the service may not send a node away for ever, nor call all of them back at
-  the same second.  A good one gives each a second of its own, so little is added; a bad one tells all the same, so what
-  is added doubles while a node is turned away again, up to a period.
-- An answer that comes too early to be a long poll (a service that says "nothing new" at once, or versions that spin)
-  is paid for out of a small allowance; when that is used up, questions go out a period apart.
-
-Edges::
-
-    RESTING ──due──> ASKED ──list taken, nothing new──> RESTING (at once, paced by the allowance)
-                       │ ──turned away──────────────> RESTING (Retry-After, and a part of the spread)
-                       │ ──nobody there─────────────> RESTING (drawn from the spread, then a period each)
-                       └──failed, unfit document────> RESTING (the same, a period of at least FAILURE_PERIOD_NS)
+"""When a node polls the discovery service, and for what: a state machine without I/O, one per process.
+
+All nodes of a fleet run the same code and see the same events, so no delay is a fixed time after an event that all of
+them see at once.
+
+- A fleet of N nodes at a service that can send R whole lists per second needs N / R seconds.  That time, multiplied by
+  ``SPREAD_MARGIN``, is the *spread*.  The first poll starts at a random time within it, and so does the first poll
+  after a failure that all nodes may have seen at once.
+- Each further failure is followed by a poll one *period* later.  The random offsets between nodes persist through an
+  outage of any length, and the fleet returns evenly within one period of the service's recovery.  Exponential backoff
+  would bring most nodes back late.  Delays drawn anew each time (full jitter) would bring most of them back early,
+  because the remaining time of a random delay is not uniformly distributed.  For the same reason no new delay is drawn
+  when the kind of failure changes.
+- A period is at least ``FAILURE_PERIOD_NS`` if the poll costs the service something (a timeout, a reset, a document
+  that can't be used), and at least ``UNREACHABLE_PERIOD_NS`` if nothing listens at its address, which costs it nothing.
+- ``Retry-After`` is followed within bounds: the service can neither keep a node away for ever nor call all nodes back
+  in the same second.  A good service gives each node a second of its own, so only a small random delay is added.  A bad
+  one gives all nodes the same value, so the added delay doubles with each consecutive rejection, up to one period.
+- An answer that arrives too early for a long poll (a service that reports "unchanged" at once, or versions that change
+  without pause) consumes a small allowance; once that is used up, polls are one period apart.
+
+Transitions::
+
+    IDLE ──due──> POLLING ──accepted, unchanged──────────> IDLE (due at once, limited by the allowance)
+                    │ ──rejected─────────────────────────> IDLE (Retry-After and a part of the spread)
+                    │ ──unreachable──────────────────────> IDLE (random within the spread, then one period each)
+                    └──failed, unusable document─────────> IDLE (the same; a period is at least FAILURE_PERIOD_NS)
 """
 
 from __future__ import annotations
@@ -34,21 +34,21 @@
 from enum import Enum
 
 SECOND = 1_000_000_000
-SPREAD_MARGIN = 1.1  # the spread, over what the service needs at least
-FAILURE_PERIOD_NS = 20 * SECOND // 3  # between two questions that trouble the service: 0.15 a second
-UNREACHABLE_PERIOD_NS = SECOND  # between two tries where nobody listens
-MAX_RETRY_AFTER_NS = 120 * SECOND  # the longest Retry-After that is believed
-EARLY_SHARE = 0.5  # a long poll that ends sooner than this share of its time is an early answer
-EARLY_ALLOWANCE = 3.0  # early answers that may be followed at once
-MIN_WAIT_SHARE = 0.75  # a long poll lasts from this share of what the settings allow to all of it
+SPREAD_MARGIN = 1.1  # ratio of the spread to the time that the service needs for the whole fleet
+FAILURE_PERIOD_NS = 20 * SECOND // 3  # minimum between polls that cost the service something: 0.15 per second
+UNREACHABLE_PERIOD_NS = SECOND  # minimum between connection attempts while nothing listens
+MAX_RETRY_AFTER_NS = 120 * SECOND
+EARLY_SHARE = 0.5  # a long poll that is answered before this share of its wait counts as early
+EARLY_ALLOWANCE = 3.0  # number of early answers that may be followed by a poll at once
+MIN_WAIT_SHARE = 0.75  # the wait of a long poll is random between this share of the maximum and the maximum
 
 
 @dataclass(frozen=True, slots=True)
 class PollSettings:
-    """What the settings tell; times in nanoseconds.
+    """Times in nanoseconds.
 
-    ``nodes`` is the number of processes that ask, ``lists_per_second`` the whole lists that the service bears,
-    ``wait`` the longest poll (0 for a service that has none, then ``poll`` is the pause between questions).
+    ``nodes`` is the number of processes that poll, ``lists_per_second`` the whole lists that the service can send,
+    ``max_wait`` the longest wait of a long poll (0 if the service has none; then ``interval`` separates the polls).
     """
 
     nodes: int
@@ -58,13 +58,13 @@
 
     @property
     def spread(self) -> int:
-        """Time in which the whole fleet can be served, with a little to spare."""
+        """Time in which the service can answer the whole fleet, with a margin."""
         return int(SPREAD_MARGIN * self.nodes / self.lists_per_second * SECOND)
 
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """What to ask: for what came after a version of a history (-1: for a whole list), waiting so long."""
+    """Parameters of a poll: the version and its history (version -1 for a whole list), and the wait in nanoseconds."""
 
     after: int
     origin: str
@@ -72,87 +72,92 @@
 
 
 class PollResult(Enum):
-    """How a question ended."""
+    """How a poll ended."""
 
-    ACCEPTED = "taken"  # a document that is in force now, or says the same as what is
+    ACCEPTED = "taken"  # a document that is now in force, or equals the one in force
     UNCHANGED = "unchanged"
     REJECTED = "turned away"  # 429 or 503
     UNREACHABLE = "nobody listens"
-    FAILED = "failed"  # a time-out, a reset, any other answer
-    UNUSABLE = "unfit"  # a document that can't be used, or is older than the one in force
+    FAILED = "failed"  # a timeout, a reset, any other status
+    UNUSABLE = "unfit"  # an invalid document, or an older one than the one in force
 
 
 class PollScheduler:
-    """See the module.  ``draw`` is the node's own chance; two nodes of a fleet must not share its seed."""
+    """Schedules the polls of one process; times in nanoseconds.
 
-    def __init__(self, settings: PollSettings, draw: random.Random, now: int) -> None:
-        self.settings, self._draw = settings, draw
-        self._asked_at = -1  # of the question under way
+    Each node of a fleet needs an ``rng`` with a seed of its own.
+    """
+
+    def __init__(self, settings: PollSettings, rng: random.Random, now: int) -> None:
+        self.settings, self._rng = settings, rng
+        self._started_at = -1  # start of the poll in flight
         self._wait = 0
-        self._allowance, self._allowed_at = EARLY_ALLOWANCE, now
-        self._apart = True  # the question's moment was drawn, so that others' lie elsewhere
-        self._heard = False  # the service has answered this process
-        self._turned = 0  # times turned away in a row
-        self.due = now + self._within(settings.spread)
+        self._allowance, self._allowance_at = EARLY_ALLOWANCE, now
+        self._staggered = True  # ``due`` derives from a random time, so it differs from other nodes'
+        self._answered = False  # the service has answered this process at least once
+        self._rejections = 0  # consecutive
+        self.due = now + self._random_delay(settings.spread)
 
     @property
     def poll_in_flight(self) -> bool:
-        """Whether a question is out."""
-        return self._asked_at >= 0
+        """Whether a poll has started and not finished."""
+        return self._started_at >= 0
 
     def start_poll(self, now: int, after: int, origin: str) -> Poll | None:
-        """The question to put now; None before it is due or while one is out."""
+        """Return the poll to send now; None if it is not due or another one is in flight."""
         if self.poll_in_flight or now < self.due:
             return None
-        self._asked_at = now
-        # Polls of all nodes begin together when a version goes out; they end apart.  The first answer is wanted at
-        # once: a list from before the start may wait to be confirmed.
-        polls = after >= 0 and self._heard
-        self._wait = int(self.settings.max_wait * self._draw.uniform(MIN_WAIT_SHARE, 1.0)) if polls else 0
+        self._started_at = now
+        # A new version makes all nodes start their long polls together; the random wait makes them end apart.  The
+        # first poll does not wait, so that a saved list is confirmed at once.
+        long_poll = after >= 0 and self._answered
+        self._wait = int(self.settings.max_wait * self._rng.uniform(MIN_WAIT_SHARE, 1.0)) if long_poll else 0
         return Poll(after, origin, self._wait)
 
-    def finish_poll(self, now: int, how: PollResult, retry_after: float | None = None) -> None:
-        """Take the end of the question that is out; ``retry_after`` in seconds, as the service gave it."""
+    def finish_poll(self, now: int, result: PollResult, retry_after: float | None = None) -> None:
+        """Record the end of the poll in flight; ``retry_after`` is the service's value in seconds.
+
+        Raises RuntimeError if no poll is in flight.
+        """
         if not self.poll_in_flight:
-            raise RuntimeError("no question is out")
-        began, self._asked_at = self._asked_at, -1
-        if how in (PollResult.ACCEPTED, PollResult.UNCHANGED):
-            self._turned, self._apart, self._heard = 0, False, True
-            self.due = self._after_answer(now, began, how)
+            raise RuntimeError("no poll is in flight")
+        started, self._started_at = self._started_at, -1
+        if result in (PollResult.ACCEPTED, PollResult.UNCHANGED):
+            self._rejections, self._staggered, self._answered = 0, False, True
+            self.due = self._due_after_answer(now, started, result)
             return
-        if how is PollResult.REJECTED:
-            self.due = now + self._told(retry_after)
+        if result is PollResult.REJECTED:
+            self.due = now + self._rejection_delay(retry_after)
         else:
             period = max(
-                self.settings.spread,
-                UNREACHABLE_PERIOD_NS if how is PollResult.UNREACHABLE else FAILURE_PERIOD_NS,
+                self.settings.spread, UNREACHABLE_PERIOD_NS if result is PollResult.UNREACHABLE else FAILURE_PERIOD_NS
             )
-            self.due = now + (period if self._apart else self._within(period))
-        self._apart = True
+            self.due = now + (period if self._staggered else self._random_delay(period))
+        self._staggered = True
 
-    def _within(self, span: int) -> int:
-        return int(self._draw.random() * span)
+    def _random_delay(self, limit: int) -> int:
+        return int(self._rng.random() * limit)
 
-    def _told(self, retry_after: float | None) -> int:
-        # NaN and infinity are lies like any other number, and 0 would call all back at once.
-        given = retry_after if retry_after is not None and 0.0 <= retry_after < 1e9 else FAILURE_PERIOD_NS / SECOND
-        told = min(max(int(given * SECOND), SECOND), MAX_RETRY_AFTER_NS)
-        self._turned += 1
+    def _rejection_delay(self, retry_after: float | None) -> int:
+        # The value may be NaN or infinite; 0 would call all nodes back at once.
+        seconds = retry_after if retry_after is not None and 0.0 <= retry_after < 1e9 else FAILURE_PERIOD_NS / SECOND
+        delay = min(max(int(seconds * SECOND), SECOND), MAX_RETRY_AFTER_NS)
+        self._rejections += 1
         period = max(self.settings.spread, FAILURE_PERIOD_NS)
-        return told + self._within(min(period, told // 2 << min(self._turned - 1, 20)))
+        return delay + self._random_delay(min(period, delay // 2 << min(self._rejections - 1, 20)))
 
-    def _after_answer(self, now: int, began: int, how: PollResult) -> int:
+    def _due_after_answer(self, now: int, started: int, result: PollResult) -> int:
         if not self.settings.max_wait:
-            return now + int(self.settings.interval * self._draw.uniform(MIN_WAIT_SHARE, 1.0))
-        full = now - began >= EARLY_SHARE * self._wait
-        if how is PollResult.UNCHANGED and full and self._wait:
+            return now + int(self.settings.interval * self._rng.uniform(MIN_WAIT_SHARE, 1.0))
+        full_wait = now - started >= EARLY_SHARE * self._wait
+        if result is PollResult.UNCHANGED and full_wait and self._wait:
             return now
-        # A list just taken is followed at once by a long poll, an early answer too, while the allowance lasts.
+        # An accepted list or an early answer is followed by a poll at once while the allowance lasts.
         period = max(self.settings.spread, FAILURE_PERIOD_NS)
-        refill = max(0, now - self._allowed_at) / period
-        self._allowance, self._allowed_at = min(EARLY_ALLOWANCE, self._allowance + refill), now
+        refill = max(0, now - self._allowance_at) / period
+        self._allowance, self._allowance_at = min(EARLY_ALLOWANCE, self._allowance + refill), now
         if self._allowance >= 1.0:
             self._allowance -= 1.0
             return now
-        self._allowed_at = now + period  # what is waited out now is not saved up
-        return self._allowed_at
+        self._allowance_at = now + period  # the allowance is not refilled for the period that is waited now
+        return self._allowance_at
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -11,7 +11,7 @@
 from tests.router_fixture import CLASS, DECODE, PREFILL, SETTINGS, RouterFixture, entry, of_type, single
 
 MANY = (*(entry(f"r{n}", PREFILL) for n in range(12)), *(entry(f"w{n}", DECODE) for n in range(4)))
-ASKING = replace(SETTINGS, may_probe=True, report_source=api.ReportSource.ANSWERS, routers=200)
+PROBING = replace(SETTINGS, may_probe=True, report_source=api.ReportSource.ANSWERS, routers=200)
 
 
 def report(fixture: RouterFixture, server: str, waiting: float) -> list[api.Action]:
@@ -19,7 +19,7 @@
     return fixture.handle(api.ProbeEnded(server, api.Outcome.SERVED, 2 * MS, load))
 
 
-def with_latencies(settings: api.Settings = ASKING) -> RouterFixture:
+def with_latencies(settings: api.Settings = PROBING) -> RouterFixture:
     """A router that knows how long a prefill takes: 1,600 tokens in 0.1 s."""
     fixture = RouterFixture(settings, MANY)
     for n in range(4):
@@ -56,7 +56,7 @@
 def test_a_router_without_latencies_compares_backlogs(loads: tuple[float, float], chosen: int) -> None:
     """After a restart of all routers at once: without latencies no engine looks crowded, and all requests would go to
     the preferred replicas."""
-    fixture = RouterFixture(ASKING, MANY)
+    fixture = RouterFixture(PROBING, MANY)
     pair = probed_pair(fixture, "q", shared_prefix="b", shared=800, prompt=1_600)
     report(fixture, pair[0], loads[0])
     assert single(report(fixture, pair[1], loads[1]), api.Send).server == pair[chosen]
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize(("waiting", "calls"), [(2_000.0, 0), (1_000.0, 1)])
 def test_a_router_without_latencies_waits_for_a_prefill_engine_with_work(waiting: float, calls: int) -> None:
-    fixture = RouterFixture(ASKING, MANY)
+    fixture = RouterFixture(PROBING, MANY)
     for server in probed_pair(fixture, "q", prompt=1_600):
         got = report(fixture, server, 0.0)
     cancels = 0
@@ -145,7 +145,7 @@
 
 def probed_pair_again(fixture: RouterFixture) -> tuple[str, str]:
     """The two engines probed for a request: their reports have just grown old, those of the others have not."""
-    probe = RouterFixture(ASKING, MANY)
+    probe = RouterFixture(PROBING, MANY)
     first, second = probed_pair(probe, "q", shared_prefix="b", shared=800)
     fixture.advance(FRESH_REPORT_NS - 100 * MS)
     for n in range(12):
@@ -158,7 +158,7 @@
 def test_routers_that_share_nothing_probe_the_same_two() -> None:
     pairs = set()
     for router in range(20):
-        fixture = RouterFixture(replace(ASKING, router=router), MANY)
+        fixture = RouterFixture(replace(PROBING, router=router), MANY)
         pairs.add(probed_pair(fixture, f"q{router}", session="same", shared_prefix="b", shared=800))
     assert len(pairs) == 1
 
@@ -178,7 +178,7 @@
     assert single(got, api.Send).server == second
 
 
-def test_no_probe_asks_for_a_fresh_report() -> None:
+def test_a_fresh_report_needs_no_probe() -> None:
     fixture = with_latencies()
     pair = probed_pair(fixture, "q1", session="s")
     for server in pair:
@@ -190,23 +190,23 @@
 @pytest.mark.parametrize(
     "settings",
     [
-        replace(ASKING, may_probe=False),
-        replace(ASKING, report_source=api.ReportSource.NONE),
-        replace(ASKING, report_source=api.ReportSource.PROBES),
+        replace(PROBING, may_probe=False),
+        replace(PROBING, report_source=api.ReportSource.NONE),
+        replace(PROBING, report_source=api.ReportSource.PROBES),
     ],
 )
-def test_nobody_is_asked_where_it_is_of_no_use(settings: api.Settings) -> None:
+def test_no_probes_without_permission_or_reports_in_answers(settings: api.Settings) -> None:
     fixture = RouterFixture(settings, MANY)
     assert not [p for p in of_type(fixture.arrive("q"), api.Probe) if p.server.startswith("r")]
 
 
-def test_few_readers_are_heard_of_anyway() -> None:
-    few = RouterFixture(ASKING, MANY[:4] + MANY[12:])
+def test_no_probes_with_few_prefill_engines() -> None:
+    few = RouterFixture(PROBING, MANY[:4] + MANY[12:])
     assert not of_type(few.arrive("q"), api.Probe)
 
 
 @pytest.mark.parametrize(("waiting", "calls"), [(60_000.0, 0), (0.0, 1)])
-def test_a_late_attempt_is_called_off_unless_its_reader_tells_of_work(waiting: float, calls: int) -> None:
+def test_a_late_attempt_is_cancelled_unless_its_prefill_engine_reports_work(waiting: float, calls: int) -> None:
     fixture = with_latencies()
     for server in probed_pair(fixture, "q"):
         got = report(fixture, server, 0.0)
@@ -221,7 +221,7 @@
     assert cancels == calls
 
 
-def test_a_late_attempt_at_a_silent_reader_is_called_off() -> None:
+def test_a_late_attempt_is_cancelled_if_its_prefill_engine_does_not_report() -> None:
     fixture = with_latencies()
     for server in probed_pair(fixture, "q"):
         got = report(fixture, server, 0.0)
