--- a/benchmarks/account.py
+++ b/benchmarks/account.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from benchmarks.relay import paired
-from stonetrack.audit.keeping import lines, names
+from stonetrack.audit.log_writer import log_lines, node_names
 
 
 def main() -> None:
@@ -22,7 +22,7 @@
     folder = Path(tempfile.mkdtemp(prefix="stonetrack-bench-"))
     kept = folder / "audit"
     paired(folder, {"audit": {"dir": str(kept), "every_ms": 1_000}}, options.rounds, options.seconds)
-    held = [line for name in names(kept) for line in lines(kept, name)]
+    held = [line for name in node_names(kept) for line in log_lines(kept, name)]
     requests = sum(line.count(b"chatcmpl-") > 0 for line in held)
     print(f"{len(held)} spans, {sum(map(len, held))} bytes, {requests} with requests")
 
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -21,8 +21,8 @@
 
 import click
 
-from stonetrack.audit.chain import Read
-from stonetrack.audit.keeping import account
+from stonetrack.audit.hash_chain import ChainReading
+from stonetrack.audit.log_writer import read_log
 from stonetrack.fleet import versions
 from stonetrack.fleet.rig import Played, play
 from stonetrack.fleet.script import parse_script
@@ -63,8 +63,8 @@
 
 def audited(made: Played, folder: Path, nodes: int, seed: int) -> dict[str, int]:
     """What the accounts say of drawn attempts, against the taps."""
-    accounts: dict[str, Read] = {
-        f"n{n}-0": account(folder / f"n{n}" / "state" / "audit", f"n{n}-0") for n in range(nodes)
+    accounts: dict[str, ChainReading] = {
+        f"n{n}-0": read_log(folder / f"n{n}" / "state" / "audit", f"n{n}-0") for n in range(nodes)
     }
     taps = [json.loads(line) for line in (folder / "engines.log").read_text().splitlines()]
     marked = [r for r in taps if r["what"] == "request" and "acting" in r]
@@ -72,7 +72,7 @@
     found = dict.fromkeys(("asked", "right", "unknown", "unknown, disk lost", "wrong"), 0)
     for record in random.Random(seed).sample(marked, min(DRAWN, len(marked))):
         settings = record["acting"].partition("/")[0]
-        spans = [s for s in accounts[record["instance"]].spans if s.may_hold(record["id"])]
+        spans = [s for s in accounts[record["instance"]].spans if s.may_contain(record["id"])]
         found["asked"] += 1
         if any(s.acting.settings == settings for s in spans):
             found["right"] += 1
--- a/stonetrack/audit/account.py
+++ b/stonetrack/audit/audit_log.py
@@ -24,7 +24,7 @@
 QUIET = 2_000_000_000  # nanoseconds without a decision after which a span of an older version is closed
 
 
-class Acting(msgspec.Struct, frozen=True, order=True):
+class ActingVersion(msgspec.Struct, frozen=True, order=True):
     """What decisions are made with."""
 
     settings: str = ""  # digest
@@ -40,15 +40,15 @@
     boot: str  # of the process
     began: int
     ended: int
-    acting: Acting
+    acting: ActingVersion
     counts: dict[str, int]
     first: str
     last: str
     requests: str = ""
 
-    def may_hold(self, request: str) -> bool:
+    def may_contain(self, request: str) -> bool:
         """Whether a request may have been decided in it; no is certain."""
-        return prints.may_hold(base64.b64decode(self.requests), request)
+        return prints.may_contain(base64.b64decode(self.requests), request)
 
 
 @dataclass
@@ -59,20 +59,20 @@
     requests: dict[str, None] = field(default_factory=dict)  # in order
 
 
-class Account:
+class AuditLog:
     """See the module.  Not for several threads at once: the core's lock orders the decisions."""
 
     def __init__(self, boot: str, every: int, most: int = 10_000) -> None:
         self.boot, self._every, self._most = boot, every, most
-        self._open: dict[Acting, _Open] = {}
-        self._newest: Acting | None = None
+        self._open: dict[ActingVersion, _Open] = {}
+        self._newest: ActingVersion | None = None
 
-    def turn(self, now: int, acting: Acting) -> None:
+    def switch_version(self, now: int, acting: ActingVersion) -> None:
         """From here on this is the node's newest version; a span of it opens though nothing is decided yet."""
         self._newest = acting
         self._open.setdefault(acting, _Open(now, now))
 
-    def note(self, now: int, acting: Acting, request: str, what: Iterable[str]) -> None:
+    def record(self, now: int, acting: ActingVersion, request: str, what: Iterable[str]) -> None:
         """A decision on a request (empty for one on none): the names of what it led to are counted."""
         span = self._open.get(acting)
         if span is None:
@@ -94,7 +94,7 @@
                     self._open[acting] = _Open(now, now)
         return closed
 
-    def _closed(self, acting: Acting, span: _Open, now: int) -> Span:
+    def _closed(self, acting: ActingVersion, span: _Open, now: int) -> Span:
         names = list(span.requests)
         held = base64.b64encode(prints.made(names)).decode()
         return Span(self.boot, span.began, now, acting, dict(span.counts), names[0] if names else "",
--- a/stonetrack/audit/collecting.py
+++ b/stonetrack/audit/collection_schedule.py
@@ -23,7 +23,7 @@
     at: int
 
 
-class Rounds:
+class CollectionSchedule:
     """See the module; ``every`` in nanoseconds."""
 
     def __init__(self, nodes: Iterable[str], every: int, per_second: float, now: int, seed: int = 0) -> None:
--- a/stonetrack/audit/collector.py
+++ b/stonetrack/audit/collector.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 
-from stonetrack.audit.collecting import Question, Rounds
+from stonetrack.audit.collection_schedule import CollectionSchedule, Question
 from stonetrack.audit.settings import Collect
 from stonetrack.audit.store import Store
 from stonetrack.clocks import wall_time
@@ -28,7 +28,7 @@
     def __init__(self, settings: Collect, store: Store, log: Callable[..., None]) -> None:
         self._settings, self.store, self._log = settings, store, log
         now = time.monotonic_ns()
-        self._rounds = Rounds(settings.nodes, int(settings.every_s * SECOND), settings.per_second, now)
+        self._rounds = CollectionSchedule(settings.nodes, int(settings.every_s * SECOND), settings.per_second, now)
         self._done = threading.Event()
         self._thread = threading.Thread(target=self._run, name="collect", daemon=True)
         self.asked = self.failed = self.bytes = 0
--- a/stonetrack/audit/filter.py
+++ b/stonetrack/audit/filter.py
@@ -27,7 +27,7 @@
     return bytes([_FORM]) + b"".join(prints) if prints else b""
 
 
-def may_hold(data: bytes, request: str) -> bool:
+def may_contain(data: bytes, request: str) -> bool:
     """Whether the request may be there; no is certain."""
     if not data:
         return False
--- a/stonetrack/audit/chain.py
+++ b/stonetrack/audit/hash_chain.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from stonetrack.audit.account import Span
+from stonetrack.audit.audit_log import Span
 
 START = "0"
 
@@ -31,7 +31,7 @@
     span: Span
 
 
-class Wrong(Enum):
+class ChainDefect(Enum):
     """What may be wrong at a line."""
 
     TORN = "the last line is not whole"
@@ -46,10 +46,10 @@
     """One thing that is wrong, at a line (from 1)."""
 
     line: int
-    wrong: Wrong
+    wrong: ChainDefect
 
 
-def line(number: int, before: str, span: Span) -> tuple[bytes, str]:
+def encode_line(number: int, before: str, span: Span) -> tuple[bytes, str]:
     """The line of a span, and its hash."""
     body = msgspec.json.encode(Entry(number, before, span))
     made = _hash(before, body)
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class ChainReading:
     """What a reader makes of lines: the spans that are sound, in order, what is wrong, and where the chain ends."""
 
     spans: tuple[Span, ...]
@@ -71,12 +71,12 @@
     begins: int = 0  # number of the first line there is; older ones have been let go
 
     @property
-    def whole(self) -> bool:
+    def intact(self) -> bool:
         """Whether nothing is missing that a chain can show."""
-        return not any(f.wrong is not Wrong.TORN for f in self.findings)
+        return not any(f.wrong is not ChainDefect.TORN for f in self.findings)
 
 
-def read(lines: Iterable[bytes], number: int = 0, last: str = START) -> Read:
+def read_chain(lines: Iterable[bytes], number: int = 0, last: str = START) -> ChainReading:
     """Follow a chain over its lines, those of several files in order; a file may be cut anywhere.
 
     ``number`` and ``last`` are where a reader that goes on had come to."""
@@ -87,21 +87,21 @@
     for n, raw in enumerate(lines, 1):
         entry, made = _entry(raw)
         if entry is None:
-            findings.append(Finding(n, Wrong.TORN if not raw.endswith(b"\n") else Wrong.CHANGED))
+            findings.append(Finding(n, ChainDefect.TORN if not raw.endswith(b"\n") else ChainDefect.CHANGED))
             continue
         if begins < 0 and not findings:
             begins = entry.number
         elif entry.before != last:
             if entry.before == START:
-                findings.append(Finding(n, Wrong.RESTART))
+                findings.append(Finding(n, ChainDefect.RESTART))
             else:
-                findings.append(Finding(n, Wrong.BACK if entry.before in seen else Wrong.GAP))
+                findings.append(Finding(n, ChainDefect.BACK if entry.before in seen else ChainDefect.GAP))
         elif entry.number != number:
-            findings.append(Finding(n, Wrong.GAP))
+            findings.append(Finding(n, ChainDefect.GAP))
         spans.append(entry.span)
         number, last = entry.number + 1, made
         seen.add(made)
-    return Read(tuple(spans), tuple(findings), number, last, max(0, begins))
+    return ChainReading(tuple(spans), tuple(findings), number, last, max(0, begins))
 
 
 def _entry(raw: bytes) -> tuple[Entry | None, str]:
--- a/stonetrack/audit/keeping.py
+++ b/stonetrack/audit/log_writer.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from pathlib import Path
 
-from stonetrack.audit.account import Account, Acting, Span
-from stonetrack.audit.chain import Read, line, read
+from stonetrack.audit.audit_log import ActingVersion, AuditLog, Span
+from stonetrack.audit.hash_chain import ChainReading, encode_line, read_chain
 from stonetrack.durable import sync_directory
 from stonetrack.node.threads import restarting_thread
 
@@ -22,13 +22,13 @@
 LOOK = 0.5  # seconds from one look at what is due to the next
 
 
-def files(folder: Path, name: str) -> list[Path]:
+def log_files(folder: Path, name: str) -> list[Path]:
     """A node's files, oldest first."""
     found = [p for p in folder.glob(f"{name}-*{SUFFIX}") if p.stem.rpartition("-")[2].isdigit()]
     return sorted((p for p in found if p.stem.rpartition("-")[0] == name), key=_number)
 
 
-def names(folder: Path) -> list[str]:
+def node_names(folder: Path) -> list[str]:
     """The nodes that have files in a folder."""
     return sorted({p.stem.rpartition("-")[0] for p in folder.glob(f"*-*{SUFFIX}")})
 
@@ -37,17 +37,18 @@
     return int(path.stem.rpartition("-")[2])
 
 
-def lines(folder: Path, name: str) -> Iterable[bytes]:
+def log_lines(folder: Path, name: str) -> Iterable[bytes]:
     """All lines of a node's account, in order.  Raises OSError."""
-    for path in files(folder, name):
+    for path in log_files(folder, name):
         with open(path, "rb") as file:
             yield from file
 
 
-class Keeper:
-    """Keeps one node's account; :meth:`note` and :meth:`turn` may be called from any thread and never wait for a disk.
+class LogWriter:
+    """Keeps one node's account; :meth:`record` and :meth:`switch_version` may be called from any thread and never wait
+    for a disk.
 
-    ``clock`` is the node's.  What can't be written stays in memory and is tried again; ``trouble`` says so.
+    ``clock`` is the node's.  What can't be written stays in memory and is tried again; ``last_error`` says so.
     """
 
     def __init__(self, folder: Path, name: str, boot: str, clock: Callable[[], int], *, every: int, file_bytes: int,
@@ -55,16 +56,17 @@
         folder.mkdir(parents=True, exist_ok=True)
         self._folder, self._name, self._clock, self._log = folder, name, clock, log
         self._file_bytes, self._most_files = file_bytes, most_files
-        self._account = Account(boot, every)
+        self._account = AuditLog(boot, every)
         self._lock = threading.Lock()
         self._waiting: list[Span] = []
-        self._told: deque[tuple[int, Acting, str, Sequence[str] | None]] = deque()  # in order; not yet in the account
-        self.trouble = ""
-        found = read(lines(folder, name))
+        # In order; not yet in the account.
+        self._told: deque[tuple[int, ActingVersion, str, Sequence[str] | None]] = deque()
+        self.last_error = ""
+        found = read_chain(log_lines(folder, name))
         self._next, self._last = found.number, found.last
         for finding in found.findings:
             log(f"account, line {finding.line}: {finding.wrong.value}")
-        there = files(folder, name)
+        there = log_files(folder, name)
         self._file = _number(there[-1]) + 1 if there else 0  # a torn end stays as it was found
         self._cut_to: tuple[Path, int] | None = None  # a file whose last write failed, and its length before that
         self._done = threading.Event()
@@ -81,12 +83,12 @@
             self._thread.join(5.0)
         self._write(all_of=True)
 
-    def turn(self, now: int, acting: Acting) -> None:
-        """See ``Account.turn``; put into the account by the keeper's own thread."""
+    def switch_version(self, now: int, acting: ActingVersion) -> None:
+        """See ``AuditLog.switch_version``; put into the account by the keeper's own thread."""
         self._told.append((now, acting, "", None))
 
-    def note(self, now: int, acting: Acting, request: str, what: Sequence[str]) -> None:
-        """See ``Account.note``; the caller holds the core's lock, so this is an append and no more."""
+    def record(self, now: int, acting: ActingVersion, request: str, what: Sequence[str]) -> None:
+        """See ``AuditLog.record``; the caller holds the core's lock, so this is an append and no more."""
         self._told.append((now, acting, request, what))
 
     def _take(self) -> None:
@@ -94,9 +96,9 @@
         for _ in range(len(self._told)):
             now, acting, request, what = self._told.popleft()
             if what is None:
-                self._account.turn(now, acting)
+                self._account.switch_version(now, acting)
             else:
-                self._account.note(now, acting, request, what)
+                self._account.record(now, acting, request, what)
 
     def _run(self) -> None:
         while not self._done.wait(LOOK):
@@ -110,18 +112,18 @@
             return
         data, number, last = b"", self._next, self._last
         for span in self._waiting:
-            raw, last = line(number, last, span)
+            raw, last = encode_line(number, last, span)
             data += raw
             number += 1
         try:
             self._append(data)
         except OSError as error:
-            if not self.trouble:
+            if not self.last_error:
                 self._log(f"account: {error}; it is kept in memory and tried again")
-            self.trouble = str(error)
+            self.last_error = str(error)
             del self._waiting[: -self._most_files * 100]  # bounded: the chain's numbers then show what is lost
             return
-        self._waiting, self._next, self._last, self.trouble = [], number, last, ""
+        self._waiting, self._next, self._last, self.last_error = [], number, last, ""
 
     def _append(self, data: bytes) -> None:
         self._cut_back()
@@ -156,16 +158,16 @@
 
     def _remove_oldest(self) -> None:
         """Keep as many files as the settings allow; one that can't be removed now is tried with the next write."""
-        for old in files(self._folder, self._name)[: -self._most_files]:
+        for old in log_files(self._folder, self._name)[: -self._most_files]:
             with contextlib.suppress(OSError):
                 old.unlink(missing_ok=True)
 
 
-def told(folder: Path, name: str, after: int, most: int = 1 << 20) -> tuple[bytes, bool]:
+def lines_after(folder: Path, name: str, after: int, most: int = 1 << 20) -> tuple[bytes, bool]:
     """The lines after a number as they stand, up to so many bytes, and whether there is more.  Raises OSError."""
     out, number = bytearray(), 0
-    for raw in lines(folder, name):
-        entry = read([raw])
+    for raw in log_lines(folder, name):
+        entry = read_chain([raw])
         number = entry.number if entry.spans else number + 1
         if not raw.endswith(b"\n") or number - 1 <= after:
             continue
@@ -175,6 +177,6 @@
     return bytes(out), False
 
 
-def account(folder: Path, name: str) -> Read:
+def read_log(folder: Path, name: str) -> ChainReading:
     """A node's account as it stands on disk.  Raises OSError."""
-    return read(lines(folder, name))
+    return read_chain(log_lines(folder, name))
--- a/stonetrack/audit/page.py
+++ b/stonetrack/audit/page.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-from stonetrack.audit.account import Acting, Span
-from stonetrack.audit.chain import Read
-from stonetrack.audit.questions import known
+from stonetrack.audit.audit_log import ActingVersion, Span
+from stonetrack.audit.hash_chain import ChainReading
+from stonetrack.audit.queries import known
 from stonetrack.pages.style import STYLE, as_svg, table
 
 SECOND = 1e9
@@ -23,9 +23,9 @@
 _MOST_ROWS = 80
 
 
-def versions(accounts: Mapping[str, Read]) -> list[Acting]:
+def versions(accounts: Mapping[str, ChainReading]) -> list[ActingVersion]:
     """All acting versions, in the order in which any node first decided on them."""
-    first: dict[Acting, int] = {}
+    first: dict[ActingVersion, int] = {}
     for read in accounts.values():
         for span in read.spans:
             first[span.acting] = min(first.get(span.acting, span.began), span.began)
@@ -49,7 +49,7 @@
     return [(int(part), "") if part.isdigit() else (-1, part) for part in re.split(r"([0-9]+)", name)]
 
 
-def _plot(accounts: Mapping[str, Read], colour: Mapping[Acting, str], since: int, until: int) -> str:
+def _plot(accounts: Mapping[str, ChainReading], colour: Mapping[ActingVersion, str], since: int, until: int) -> str:
     import matplotlib
 
     matplotlib.use("svg")
@@ -67,7 +67,7 @@
         for begin, end in gaps(spans, since, until):
             axis.barh(row, (end - begin) / SECOND, left=(begin - since) / SECOND, height=0.8, fill=False,
                       hatch="////", edgecolor="#999999", lw=0)  # fmt: skip
-    labels = [name if accounts[name].whole else f"{name} !" for name in names]
+    labels = [name if accounts[name].intact else f"{name} !" for name in names]
     axis.set_yticks(range(len(names)), labels, fontsize=7)
     axis.set_ylim(len(names) - 0.4, -0.6)
     axis.set_xlim(0, max((until - since) / SECOND, 1e-3))
@@ -86,7 +86,7 @@
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(at / SECOND)) + "Z"
 
 
-def write_page(accounts: Mapping[str, Read], path: Path) -> None:
+def write_page(accounts: Mapping[str, ChainReading], path: Path) -> None:
     """Write the page.  Raises OSError."""
     spans = [span for read in accounts.values() for span in read.spans]
     since, until = min((s.began for s in spans), default=0), max((s.ended for s in spans), default=1)
--- a/stonetrack/audit/questions.py
+++ b/stonetrack/audit/queries.py
@@ -6,8 +6,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from stonetrack.audit.account import Acting, Span
-from stonetrack.audit.chain import Read
+from stonetrack.audit.audit_log import ActingVersion, Span
+from stonetrack.audit.hash_chain import ChainReading
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,33 +24,33 @@
         return f"not complete: {len(self.lacking)} of {self.nodes} accounts lack something ({few})"
 
 
-def known(accounts: Mapping[str, Read], until: int = 0) -> Known:
+def known(accounts: Mapping[str, ChainReading], until: int = 0) -> Known:
     """Whether accounts are whole, and told of all up to a time."""
     lacking = {}
     for name, read in accounts.items():
         ends = read.spans[-1].ended if read.spans else 0
-        if not read.whole:
+        if not read.intact:
             lacking[name] = read.findings[0].wrong.value
         elif ends < until:
             lacking[name] = "nothing was told of the time since" if ends else "nothing was told yet"
     return Known(len(accounts), lacking)
 
 
-def at(accounts: Mapping[str, Read], time: int) -> dict[str, list[Span]]:
+def at(accounts: Mapping[str, ChainReading], time: int) -> dict[str, list[Span]]:
     """Each node's spans that stood at a time."""
     return {name: [s for s in read.spans if s.began <= time <= s.ended] for name, read in accounts.items()}
 
 
-def who(accounts: Mapping[str, Read], version: int) -> dict[str, list[Span]]:
+def who(accounts: Mapping[str, ChainReading], version: int) -> dict[str, list[Span]]:
     """The spans of a list's version with any decision in them, by node."""
     found = {name: [s for s in read.spans if s.acting.version == version and s.counts]
              for name, read in accounts.items()}  # fmt: skip
     return {name: spans for name, spans in found.items() if spans}
 
 
-def newest(accounts: Mapping[str, Read]) -> dict[str, Acting]:
+def newest(accounts: Mapping[str, ChainReading]) -> dict[str, ActingVersion]:
     """The version that each node decided on last."""
-    last: dict[str, Acting] = {}
+    last: dict[str, ActingVersion] = {}
     for name, read in accounts.items():
         for span in read.spans:
             if span.counts or name not in last:
@@ -58,7 +58,7 @@
     return last
 
 
-def stale_nodes(accounts: Mapping[str, Read], wanted: int, since: int) -> dict[str, Span]:
+def stale_nodes(accounts: Mapping[str, ChainReading], wanted: int, since: int) -> dict[str, Span]:
     """The last span of each node that decided anything under an older version of the list after a time."""
     late: dict[str, Span] = {}
     for name, read in accounts.items():
@@ -68,7 +68,7 @@
     return late
 
 
-def difference(accounts: Mapping[str, Read], one: int, two: int) -> dict[str, tuple[float, float]]:
+def difference(accounts: Mapping[str, ChainReading], one: int, two: int) -> dict[str, tuple[float, float]]:
     """What was decided under two versions of the list: each kind's share of all decisions, by name."""
     counts = {version: Counter[str]() for version in (one, two)}
     for read in accounts.values():
--- a/stonetrack/audit/store.py
+++ b/stonetrack/audit/store.py
@@ -13,7 +13,7 @@
 import lmdb
 import msgspec
 
-from stonetrack.audit.chain import START, Finding, Read, Wrong, read
+from stonetrack.audit.hash_chain import START, ChainDefect, ChainReading, Finding, read_chain
 
 NAME = "audit"
 _LINE = b"line/"
@@ -70,7 +70,7 @@
         """Take lines that a node told, in one transaction; where it stands then."""
         with self._env.begin(write=True) as change:
             stands = self._standing(change, node)
-            made = read(lines, stands.next, stands.last)
+            made = read_chain(lines, stands.next, stands.last)
             prefix = _LINE + node.encode() + b"\x00"
             for n, line in enumerate(lines):
                 change.put(prefix + (stands.count + n).to_bytes(8, "big"), line)
@@ -90,13 +90,13 @@
             stands.trouble = why
             change.put(_NODE + node.encode(), msgspec.json.encode(stands))
 
-    def account(self, node: str) -> Read:
+    def account(self, node: str) -> ChainReading:
         """A node's account as far as it was collected."""
         with self._env.begin() as view, view.cursor() as cursor:
             stands = self._standing(view, node)
-            made = read(value for _, value in _under(cursor, _LINE + node.encode() + b"\x00"))
-        findings = tuple(Finding(line, Wrong[name]) for line, name in stands.findings)
-        return Read(made.spans, findings, made.number, made.last, made.begins)
+            made = read_chain(value for _, value in _under(cursor, _LINE + node.encode() + b"\x00"))
+        findings = tuple(Finding(line, ChainDefect[name]) for line, name in stands.findings)
+        return ChainReading(made.spans, findings, made.number, made.last, made.begins)
 
 
 def _under(cursor: lmdb.Cursor, prefix: bytes) -> Iterator[tuple[bytes, bytes]]:
--- a/stonetrack/cli/audit.py
+++ b/stonetrack/cli/audit.py
@@ -15,8 +15,8 @@
 from stonetrack.cli.serve import FILE, LOG, VAR, log_to, told_to_stop, variables
 
 if TYPE_CHECKING:
-    from stonetrack.audit.account import Acting, Span
-    from stonetrack.audit.chain import Read
+    from stonetrack.audit.audit_log import ActingVersion, Span
+    from stonetrack.audit.hash_chain import ChainReading
 
 FOLDERS = click.argument(
     "folders", nargs=-1, required=True, type=click.Path(exists=True, file_okay=False, path_type=Path)
@@ -28,11 +28,11 @@
     """Which node decided on which version: accounts of nodes (their audit.dir), read where they are."""
 
 
-def _accounts(folders: tuple[Path, ...]) -> dict[str, Read]:
-    from stonetrack.audit.keeping import account, names
+def _accounts(folders: tuple[Path, ...]) -> dict[str, ChainReading]:
+    from stonetrack.audit.log_writer import node_names, read_log
     from stonetrack.audit.store import Store
 
-    found = {name: account(folder, name) for folder in folders for name in names(folder)}
+    found = {name: read_log(folder, name) for folder in folders for name in node_names(folder)}
     for folder in folders:
         if Store.there(folder):
             store = Store(folder, readonly=True)
@@ -48,13 +48,13 @@
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(at / 1e9)) + f".{at // 1_000_000 % 1_000:03d}Z"
 
 
-def _version(acting: Acting) -> str:
+def _version(acting: ActingVersion) -> str:
     return f"list {acting.version} of {acting.origin or '-'}, settings {acting.settings}, module {acting.module}"
 
 
-def _known(accounts: dict[str, Read], until: int = 0) -> None:
+def _known(accounts: dict[str, ChainReading], until: int = 0) -> None:
     """What the answers rest on."""
-    from stonetrack.audit.questions import known
+    from stonetrack.audit.queries import known
 
     click.echo(str(known(accounts, until)))
 
@@ -80,7 +80,7 @@
         for finding in read.findings:
             click.echo(f"  line {finding.line}: {finding.wrong.value}")
     _known(accounts)
-    sys.exit(0 if all(read.whole for read in accounts.values()) else 1)
+    sys.exit(0 if all(read.intact for read in accounts.values()) else 1)
 
 
 @audit.command("node")
@@ -103,10 +103,10 @@
 @FOLDERS
 def who(version: int, folders: tuple[Path, ...]) -> None:
     """The nodes that decided anything on a version of the list, and when."""
-    from stonetrack.audit import questions
+    from stonetrack.audit import queries
 
     accounts = _accounts(folders)
-    for name, mine in sorted(questions.who(accounts, version).items()):
+    for name, mine in sorted(queries.who(accounts, version).items()):
         total = sum(sum(span.counts.values()) for span in mine)
         click.echo(f"{name}: {total} decisions, {_when(mine[0].began)} to {_when(mine[-1].ended)}")
     _known(accounts)
@@ -117,10 +117,10 @@
 @FOLDERS
 def at(moment: str, folders: tuple[Path, ...]) -> None:
     """What each node decided on at a MOMENT, by its own clock."""
-    from stonetrack.audit import questions
+    from stonetrack.audit import queries
 
     accounts, when = _accounts(folders), _time(moment)
-    for name, spans in sorted(questions.at(accounts, when).items()):
+    for name, spans in sorted(queries.at(accounts, when).items()):
         for span in spans:
             click.echo(f"{name}: {_version(span.acting)}")
         if not spans:
@@ -134,10 +134,10 @@
 @FOLDERS
 def stale_nodes(version: int, since: str, folders: tuple[Path, ...]) -> None:
     """Nodes that decided on an older version of the list after a moment; exit code 1 where there are any."""
-    from stonetrack.audit import questions
+    from stonetrack.audit import queries
 
     accounts, moment = _accounts(folders), _time(since)
-    late = questions.stale_nodes(accounts, version, moment)
+    late = queries.stale_nodes(accounts, version, moment)
     for name, span in sorted(late.items()):
         click.echo(f"{name}: still list {span.acting.version}, until {_when(span.ended)}")
     _known(accounts, moment)
@@ -157,10 +157,10 @@
 @FOLDERS
 def diff(one: int, two: int, folders: tuple[Path, ...]) -> None:
     """Shares of what was decided under two versions of the list."""
-    from stonetrack.audit import questions
+    from stonetrack.audit import queries
 
     accounts = _accounts(folders)
-    for name, (before, after) in questions.difference(accounts, one, two).items():
+    for name, (before, after) in queries.difference(accounts, one, two).items():
         click.echo(f"{name:<12} {before:8.4f} {after:8.4f} {after - before:+8.4f}")
     _known(accounts)
 
@@ -225,7 +225,7 @@
     """The spans that may hold a request.  A filter never misses one that is there, and names 1 in 100 that is not."""
     accounts = _accounts(folders)
     found: list[tuple[str, Span]] = [
-        (name, span) for name, read in sorted(accounts.items()) for span in read.spans if span.may_hold(request)
+        (name, span) for name, read in sorted(accounts.items()) for span in read.spans if span.may_contain(request)
     ]
     for name, span in found:
         click.echo(f"{name}: {_when(span.began)} to {_when(span.ended)}  {_version(span.acting)}")
--- a/stonetrack/cli/control.py
+++ b/stonetrack/cli/control.py
@@ -27,15 +27,15 @@
 @LOG
 def control_run(file: Path, var: tuple[str, ...], port: int | None, log_path: Path | None) -> None:
     """Run the control service until TERM."""
-    from stonetrack.control.service import KeepingError, run
+    from stonetrack.control.service import StateError, run
     from stonetrack.control.settings import load_control
 
-    run_until_told(file, port, log_path, lambda: load_control(file, variables(var)), run, KeepingError)
+    run_until_told(file, port, log_path, lambda: load_control(file, variables(var)), run, StateError)
 
 
 def _call(at: str, method: str, path: str, body: Any = None) -> Any:
     """The answer, or an end with exit code 1 and what the service said."""
-    from stonetrack.control.calls import ControlError, call
+    from stonetrack.control.client import ControlError, call
 
     try:
         return call(at, method, path, body)
@@ -87,7 +87,7 @@
     """Who runs which version, and what is known of those that lag."""
     from stonetrack.control.stale_nodes import Evidence
 
-    fine = Evidence.FINE.value
+    fine = Evidence.CURRENT.value
     rows = [row for row in _call(at, "GET", "/nodes") if not lagging or row["evidence"] != fine]
     for row in rows:
         more = f", {row['why']}" if row["why"] else ""
--- a/stonetrack/control/calls.py
+++ b/stonetrack/control/client.py
@@ -21,22 +21,24 @@
         self.known = known
 
 
-def call(at: str, method: str, path: str, body: Any = None, token: Token | None = None, patience: float = 10.0) -> Any:
-    """What the service answers; ``at`` is ``host:port`` or its URL.  Raises ControlError."""
-    found = split_address(at.removeprefix("http://").rstrip("/"))
+def call(
+    address: str, method: str, path: str, body: Any = None, token: Token | None = None, timeout_s: float = 10.0
+) -> Any:
+    """What the service answers; ``address`` is ``host:port`` or its URL.  Raises ControlError."""
+    found = split_address(address.removeprefix("http://").rstrip("/"))
     if found is None:
-        raise ControlError(f"{at!r}: host:port is allowed")
+        raise ControlError(f"{address!r}: host:port is allowed")
     host, port = found
     headers = [("Host", f"{host}:{port}"), ("Connection", "close")]
     if token is not None:
         headers.append((HEADER, str(token)))
     data = msgspec.json.encode(body) if body is not None else b""
     try:
-        status, answer = calls.call(host, port, writer.request(method, path, headers, data), patience)
+        status, answer = calls.call(host, port, writer.request(method, path, headers, data), timeout_s)
         told = msgspec.json.decode(answer)
     except (CallFailed, msgspec.DecodeError) as error:
-        raise ControlError(f"{at}: {error}") from None
+        raise ControlError(f"{address}: {error}") from None
     if status != 200:
         known = msgspec.convert(told["known"], Token) if "known" in told else NOBODY
-        raise ControlError(f"{at}: {told.get('error', status)}", known)
+        raise ControlError(f"{address}: {told.get('error', status)}", known)
     return told
--- a/stonetrack/control/documents.py
+++ b/stonetrack/control/documents.py
@@ -28,24 +28,24 @@
     owner: str = ""
 
 
-NOTHING = Document(0, {})  # what a node runs that was never told of a version
+NO_VERSION = Document(0, {})  # what a node runs that was never told of a version
 
 
-def digest_of(content: Mapping[str, Any]) -> str:
+def content_digest(content: Mapping[str, Any]) -> str:
     """Tells contents apart, whatever the order of their fields."""
     return blake2b(msgspec.json.encode(content, order="sorted"), digest_size=8).hexdigest()
 
 
 def made(number: int, content: dict[str, Any], kind: str, term: int = 0, owner: str = "") -> Document:
     """A document with its digest."""
-    return Document(number, content, kind, digest_of(content), term, owner)
+    return Document(number, content, kind, content_digest(content), term, owner)
 
 
 def problem(document: Document) -> str:
     """Why nobody could take it, whatever the node; empty where nothing is wrong in itself."""
     if document.kind not in KINDS:
         return f"kind: found {document.kind!r}; allowed: {', '.join(KINDS)}"
-    if document.digest != digest_of(document.content):
+    if document.digest != content_digest(document.content):
         return f"version {document.number}: the content is not that of digest {document.digest}"
     own = sorted(set(document.content) & set(LOCAL))
     if own:
--- a/stonetrack/control/explore.py
+++ b/stonetrack/control/explore.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum, auto
 
-from stonetrack.control.follow import Permit
+from stonetrack.control.follower import Lease
 from stonetrack.control.stale_nodes import Node, Order, Rules, orders
 from stonetrack.election.search import Found, search
 
@@ -67,7 +67,7 @@
     """A node."""
 
     running: int = 1
-    permit: Permit = Permit()
+    permit: Lease = Lease()
     asked: Asked | None = None
 
 
@@ -125,11 +125,11 @@
 
 
 def _broken(world: World) -> str:
-    out = [name for name, node in zip(NAMES, world.nodes, strict=False) if node.permit.is_out(node.running)]
+    out = [name for name, node in zip(NAMES, world.nodes, strict=False) if node.permit.is_fenced(node.running)]
     if len(out) > MOST:
         return f"{' and '.join(out)} are out at one time, {MOST} may be"
     for name, node in zip(NAMES, world.nodes, strict=False):
-        if node.running >= world.wanted and node.permit.is_out(node.running):
+        if node.running >= world.wanted and node.permit.is_fenced(node.running):
             return f"{name} runs version {node.running} and takes no requests"
     return ""
 
@@ -166,7 +166,7 @@
     after, given = orders(known, dict.fromkeys(known, (world.wanted, f"d{world.wanted}", "rule")), 0, RULES)
     if less is Less.HELD:
         after = {name: replace(node, echo=node.order) for name, node in after.items()}
-    out = [name for name, (order, _) in given.items() if order is Order.OUT]
+    out = [name for name, (order, _) in given.items() if order is Order.FENCE]
     kept = world.kept
     if any(node.out and kept[NAMES.index(name)] != node.order for name, node in after.items()):
         kept = tuple(after[name].order if name in after else 0 for name, _ in zip(NAMES, kept, strict=False))
@@ -179,7 +179,7 @@
     """What a node may do, and what may become of its question."""
     name, asked = NAMES[n], node.asked
     if asked is None:
-        made = Asked(node.running, node.permit.is_out(node.running), node.permit.order)
+        made = Asked(node.running, node.permit.is_fenced(node.running), node.permit.order)
         yield f"{name} asks", _with(world, n, replace(node, asked=made))
         return
     if world.given_up < bounds.given_up:
@@ -198,7 +198,7 @@
         return
     order, number = asked.answer
     lifted_by = 1_000 if less is Less.LIFTED else number
-    permit = node.permit.shut("behind" if order % 2 else "", lifted_by, order)
+    permit = node.permit.fenced("behind" if order % 2 else "", lifted_by, order)
     yield f"{name} hears the answer", _with(world, n, replace(node, asked=None, permit=permit))
     if number > node.running:
         taken = replace(node, asked=None, permit=permit, running=number)
--- a/stonetrack/control/history.py
+++ b/stonetrack/control/history.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from stonetrack.control.documents import NOTHING, Document, made, problem
+from stonetrack.control.documents import NO_VERSION, Document, made, problem
 
 REMEMBERED = 100  # documents
 LEAST = 2  # nodes that run a staged version at the least, where there are so many: one alone tells nothing
@@ -38,7 +38,7 @@
 class History:
     """See the module; every method gives the next state."""
 
-    documents: tuple[Document, ...] = field(default=(NOTHING,))
+    documents: tuple[Document, ...] = field(default=(NO_VERSION,))
     base: int = 0
     candidate: int = 0  # 0: none
     share: float = 0.0
--- a/stonetrack/control/rollout.py
+++ b/stonetrack/control/rollout.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sample:
+class NodeSample:
     """One node: requests asked and served since the stage began, and before it."""
 
     staged: bool
@@ -31,7 +31,7 @@
     served: float
     asked_before: float = 0.0
     served_before: float = 0.0
-    gone: bool = False  # not heard since it was to run the version
+    silent: bool = False  # not heard since it was to run the version
 
 
 class Verdict(Enum):
@@ -43,16 +43,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class SprtParameters:
     """``loss`` of service that must be found; chances of a false alarm and of a miss."""
 
     loss: float = 0.05
-    alarm: float = 0.03
+    false_alarm: float = 0.03
     miss: float = 0.03
-    gone: float = 0.34  # share of the staged nodes that may be gone before it counts as worse at once
+    max_silent_share: float = 0.34  # share of the staged nodes that may be gone before it counts as worse at once
 
 
-def _side(samples: Sequence[Sample]) -> tuple[float, float]:
+def _side(samples: Sequence[NodeSample]) -> tuple[float, float]:
     """The mean change of the share served, weighted by requests, and its variance."""
     asked = sum(s.asked for s in samples)
     rate = min(max(sum(s.served for s in samples) / asked, 0.5 / asked), 1.0 - 0.5 / asked)
@@ -71,7 +71,7 @@
     return mean, max(scatter, chance)
 
 
-def ratio(samples: Sequence[Sample], terms: Terms) -> float | None:
+def ratio(samples: Sequence[NodeSample], terms: SprtParameters) -> float | None:
     """The log-likelihood ratio for a loss; None while there is too little to say anything."""
     if any(s.asked_before for s in samples):  # a node without a past of its own can't be compared with it
         samples = [s for s in samples if s.asked_before]
@@ -82,37 +82,37 @@
     return terms.loss / (v1 + v2) * (rest - staged - terms.loss / 2.0)
 
 
-def verdict(samples: Sequence[Sample], terms: Terms) -> Verdict:
+def verdict(samples: Sequence[NodeSample], terms: SprtParameters) -> Verdict:
     """See the module.  Staged nodes that are gone speak before any request does."""
     staged = [s for s in samples if s.staged]
-    gone = sum(s.gone for s in staged)
+    gone = sum(s.silent for s in staged)
     others = [s for s in samples if not s.staged]
-    others_gone = sum(s.gone for s in others) / max(len(others), 1)
-    if staged and gone / len(staged) > max(terms.gone, 2.0 * others_gone):
+    others_gone = sum(s.silent for s in others) / max(len(others), 1)
+    if staged and gone / len(staged) > max(terms.max_silent_share, 2.0 * others_gone):
         return Verdict.WORSE
     found = ratio(samples, terms)
     if found is None:
         return Verdict.UNSURE
-    if found >= math.log((1.0 - terms.miss) / terms.alarm):
+    if found >= math.log((1.0 - terms.miss) / terms.false_alarm):
         return Verdict.WORSE
-    if found <= math.log(terms.miss / (1.0 - terms.alarm)):
+    if found <= math.log(terms.miss / (1.0 - terms.false_alarm)):
         return Verdict.NOT_WORSE
     return Verdict.UNSURE
 
 
-class Next(Enum):
+class StageAction(Enum):
     """What the roll-out does."""
 
     WAIT = "wait"
-    ON = "on to the next stage"
-    BACK = "back"
+    ADVANCE = "on to the next stage"
+    ROLL_BACK = "back"
 
 
-def step(verdict_now: Verdict, waited: float, least: float, most: float) -> Next:
+def next_action(verdict_now: Verdict, waited: float, least: float, most: float) -> StageAction:
     """A stage stands for ``least`` seconds at least; one that stays unsure for ``most`` goes back: nobody could tell
     that it does no harm."""
     if verdict_now is Verdict.WORSE:
-        return Next.BACK
+        return StageAction.ROLL_BACK
     if verdict_now is Verdict.NOT_WORSE and waited >= least:
-        return Next.ON
-    return Next.BACK if waited >= most else Next.WAIT
+        return StageAction.ADVANCE
+    return StageAction.ROLL_BACK if waited >= most else StageAction.WAIT
--- a/stonetrack/control/service.py
+++ b/stonetrack/control/service.py
@@ -29,9 +29,9 @@
 from stonetrack.control import history as versions
 from stonetrack.control.documents import Document
 from stonetrack.control.history import History, HistoryError
+from stonetrack.control.messages import Answer, Report
 from stonetrack.control.settings import SECOND, Control, rules
 from stonetrack.control.stale_nodes import Evidence, Node, Order, orders
-from stonetrack.control.wire import Answer, Report
 from stonetrack.durable import save
 from stonetrack.election.fence import HEADER, NOBODY, Fence, Refused, Token, token_of
 from stonetrack.frontend.connection import Connection, HttpRequest
@@ -46,7 +46,7 @@
 Log = Callable[..., None]
 
 
-class KeepingError(ValueError):
+class StateError(ValueError):
     """A state that can't be read; the text says what to do."""
 
 
@@ -84,7 +84,7 @@
 
 
 class Service:
-    """See the module.  Raises KeepingError for a damaged state folder."""
+    """See the module.  Raises StateError for a damaged state folder."""
 
     def __init__(self, settings: Control, listener: socket, log: Log) -> None:
         self.settings, self._log = settings, log
@@ -115,7 +115,7 @@
             made = versions.restored(kept.documents, kept.base, kept.candidate, kept.share, kept.first)
             return made, kept.owner, kept.orders
         except (msgspec.DecodeError, HistoryError) as error:
-            raise KeepingError(f"{self._path}: {error}; mend it, or put a copy back") from None
+            raise StateError(f"{self._path}: {error}; mend it, or put a copy back") from None
 
     def start(self) -> None:
         """Serve."""
@@ -226,7 +226,7 @@
             document = self.history.wanted(report.name)
             node = self.nodes.get(report.name)
             out, order = node is not None and node.out, node.order if node is not None else 0
-            seen = self._orders.get(report.name, (Order.NONE, Evidence.FINE))[1]
+            seen = self._orders.get(report.name, (Order.NONE, Evidence.CURRENT))[1]
             restart = self._restarts.get(report.name) == report.boot
         change = self.settings.rule if document.kind == "rule" else self.settings.weight
         lags = document.number > report.running and document.number != report.refused
@@ -324,7 +324,7 @@
             rows = []
             for name, node in sorted(self.nodes.items()):
                 counts = self._counts.get(name, _Counts())
-                order, seen = self._orders.get(name, (Order.NONE, Evidence.FINE))
+                order, seen = self._orders.get(name, (Order.NONE, Evidence.CURRENT))
                 rows.append({
                     "name": name, "wanted": self.history.wanted(name).number, "runs": node.running,
                     "evidence": seen.value, "order": order.value, "out": node.out, "turned_down": node.refused,
--- a/stonetrack/control/stale_nodes.py
+++ b/stonetrack/control/stale_nodes.py
@@ -25,13 +25,13 @@
 class Evidence(Enum):
     """What is known of a node that lags; the first that holds."""
 
-    FINE = "runs it"
+    CURRENT = "runs it"
     AHEAD = "runs a newer one"
     SILENT = "silent"
-    MISTAKEN = "acts on what it did not acknowledge"
+    INCONSISTENT = "acts on what it did not acknowledge"
     FLAPPING = "starts again and again"
-    LOST = "lost its memory"
-    TURNED_DOWN = "turned it down"
+    LOST_STATE = "lost its memory"
+    REJECTED = "turned it down"
     BEHIND = "runs an older one"
 
 
@@ -40,7 +40,7 @@
 
     NONE = ""
     RESTART = "start anew"
-    OUT = "out"
+    FENCE = "out"
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,17 +116,17 @@
     if now - node.heard > rules.silent:
         return Evidence.SILENT
     if node.acting and node.digest and node.acting != node.digest:
-        return Evidence.MISTAKEN
+        return Evidence.INCONSISTENT
     if node.running == node.wanted and node.digest == digest:
-        return Evidence.FINE
+        return Evidence.CURRENT
     if node.running > node.wanted:
         return Evidence.AHEAD  # the service's own state is an old one: that is nobody else's fault
     if len(_lately(node, now, rules)) > rules.flaps:
         return Evidence.FLAPPING
     if node.refused == node.wanted:
-        return Evidence.TURNED_DOWN
+        return Evidence.REJECTED
     if node.running < node.most:
-        return Evidence.LOST
+        return Evidence.LOST_STATE
     return Evidence.BEHIND
 
 
@@ -139,7 +139,7 @@
     bad = _bad_versions(next_of, rules)
     lags = {
         name: now - _behind_since(node, found[name], now, rules) for name, node in next_of.items()
-        if found[name] not in (Evidence.FINE, Evidence.SILENT, Evidence.AHEAD) and node.wanted not in bad
+        if found[name] not in (Evidence.CURRENT, Evidence.SILENT, Evidence.AHEAD) and node.wanted not in bad
     }  # fmt: skip
     may_be_out = {name for name, late in lags.items() if late >= rules.bound[wanted[name][2]]}
     silent = sum(each is Evidence.SILENT for each in found.values())
@@ -154,14 +154,14 @@
         node, seen, kind = next_of[name], found[name], wanted[name][2]
         order = Order.NONE
         if name in may_be_out and out < room:
-            order, out = Order.OUT, out + 1
+            order, out = Order.FENCE, out + 1
         elif (
             name in lags and lags[name] >= rules.grace[kind]
             and _may_restart(node, seen, now, rules) and lately < rules.restarts
         ):  # fmt: skip
             order, lately = Order.RESTART, lately + 1
             node = replace(node, ordered=now, orders=node.orders + 1)
-        if (order is Order.OUT) != node.out:
+        if (order is Order.FENCE) != node.out:
             node = replace(node, order=node.order + 1)
         next_of[name] = node
         made[name] = order, seen
@@ -174,7 +174,7 @@
 
 def _may_restart(node: Node, seen: Evidence, now: int, rules: Rules) -> bool:
     """Starting anew helps a node that hangs on, not one that flaps or says no."""
-    if seen in (Evidence.FLAPPING, Evidence.TURNED_DOWN):
+    if seen in (Evidence.FLAPPING, Evidence.REJECTED):
         return False
     return not node.ordered or now - node.ordered >= rules.restart_pause << min(node.orders, 6)
 
--- a/stonetrack/controller/calls.py
+++ b/stonetrack/controller/calls.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from stonetrack.clocks import wall_time
-from stonetrack.control.calls import ControlError
-from stonetrack.control.calls import call as control
+from stonetrack.control.client import ControlError
+from stonetrack.control.client import call as control
 from stonetrack.controller.captures import retained
 from stonetrack.controller.checking import Check, Tally
 from stonetrack.controller.jobs import Facts, Step
@@ -88,7 +88,7 @@
         if kind == Retain.name:
             return Facts(at)
         if kind == RollOut.name:
-            nodes = control(self._settings.control, "GET", "/nodes", patience=self._settings.call_s)
+            nodes = control(self._settings.control, "GET", "/nodes", timeout_s=self._settings.call_s)
             return Facts(at, versions=self._versions(), nodes=tuple(nodes))
         if kind == Publish.name:  # alone of all it has something to do where there is no list
             listed = self._listed()
--- a/stonetrack/controller/rolling.py
+++ b/stonetrack/controller/rolling.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from stonetrack.control import rollout
-from stonetrack.control.rollout import Next, Sample, Terms, Verdict
+from stonetrack.control.rollout import NodeSample, SprtParameters, StageAction, Verdict
 from stonetrack.control.stale_nodes import Evidence
 from stonetrack.controller.jobs import Facts, Step, Wait
 from stonetrack.settings.schema import Share, Strict
@@ -30,7 +30,7 @@
     miss: Annotated[float, Meta(gt=0.0, lt=0.5)] = 0.03
 
 
-def samples_of(rows: tuple[dict[str, Any], ...], number: int) -> list[Sample]:
+def samples_of(rows: tuple[dict[str, Any], ...], number: int) -> list[NodeSample]:
     """What the control service tells of each node, as the test takes it.
 
     Only nodes that do run what they are to run count; one that turned the version down runs the old one and says
@@ -40,7 +40,7 @@
         staged = row["wanted"] == number
         gone = row["evidence"] == Evidence.SILENT.value
         if row["runs"] == row["wanted"] or gone:
-            found.append(Sample(staged, 0.0, 0.0, gone=True) if gone else Sample(
+            found.append(NodeSample(staged, 0.0, 0.0, silent=True) if gone else NodeSample(
                 staged, row["asked"], row["served"], row["asked_before"], row["served_before"]))  # fmt: skip
     return found
 
@@ -63,12 +63,12 @@
             return self._begun(state, facts)
         waited = facts.at - state["since"]
         found = self.verdict(state, facts)
-        match rollout.step(found, max(0.0, waited), self.settings.least_s, self.settings.most_s):
-            case Next.BACK:
+        match rollout.next_action(found, max(0.0, waited), self.settings.least_s, self.settings.most_s):
+            case StageAction.ROLL_BACK:
                 why = "it costs service" if found is Verdict.WORSE else "nobody could tell that it does no harm"
                 return Step("rollback", {"number": state["number"], "why": why},
                             "a version that is not staged any more is not rolled back again")  # fmt: skip
-            case Next.ON:
+            case StageAction.ADVANCE:
                 return Step("stage", {"number": state["number"], "share": self._share(state["stage"] + 1)},
                             "a share that stands is not set again; it never shrinks")  # fmt: skip
         return Wait(min(2.0, self.settings.least_s or 2.0), f"stage {state['stage'] + 1}: {found.value}")
@@ -86,7 +86,7 @@
 
     def verdict(self, state: dict[str, Any], facts: Facts) -> Verdict:
         """What the nodes' reports say of the version that is staged."""
-        terms = Terms(self.settings.loss, self.settings.alarm, self.settings.miss)
+        terms = SprtParameters(self.settings.loss, self.settings.alarm, self.settings.miss)
         return rollout.verdict(samples_of(facts.nodes, state["number"]), terms)
 
     def after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
--- a/stonetrack/daemon/controlled.py
+++ b/stonetrack/daemon/controlled.py
@@ -1,6 +1,6 @@
 """A node that follows the control service: one thread that asks, and the file of the version that it runs.
 
-What a version does to the node is decided in :mod:`stonetrack.control.follow`; here are the thread, the socket and
+What a version does to the node is decided in :mod:`stonetrack.control.follower`; here are the thread, the socket and
 the file.  A question waits at the service, so news comes at once; a failed one is followed by another at a drawn
 moment of a growing pause, a third of the permit at most, so that hundreds that lost their service come back spread
 out, and within their permits.  After news, which all hear at one moment, the next question (the acknowledgement) is
@@ -19,10 +19,10 @@
 
 import msgspec
 
-from stonetrack.control.calls import call
-from stonetrack.control.documents import NOTHING, Document
-from stonetrack.control.follow import Do, Follower, Permit, after_falls
-from stonetrack.control.wire import Answer, Report
+from stonetrack.control.client import call
+from stonetrack.control.documents import NO_VERSION, Document
+from stonetrack.control.follower import Follower, InstallStep, Lease, follower_after_restart
+from stonetrack.control.messages import Answer, Report
 from stonetrack.durable import save
 from stonetrack.settings import Node, SettingsError, merged, parse
 
@@ -61,7 +61,7 @@
         self._log, self._draw = log, draw
         self._lock = threading.Lock()  # one change of settings at a time
         self.follower = Follower()
-        self.permit = Permit(steps_out=own.control.steps_out)
+        self.permit = Lease(steps_out=own.control.steps_out)
         self.trouble = ""
         self.asked = 0
         self._steady = False
@@ -71,17 +71,17 @@
     def restored(self) -> tuple[Node, Document]:
         """The settings that the node comes back on: its own under the version kept on disk, if it still fits."""
         if self._path is None or not self._path.exists():
-            return self._own, NOTHING
+            return self._own, NO_VERSION
         try:
             document = msgspec.json.decode(self._path.read_bytes(), type=Document)
             settings = self._under(document)
         except (OSError, msgspec.DecodeError, SettingsError) as error:
             self._log(f"the version kept at {self._path} can't be used: {error}; the node's own settings are in force")
-            return self._own, NOTHING
-        self.follower = after_falls(document, self._started(document.number))
-        if self.follower.poison:
+            return self._own, NO_VERSION
+        self.follower = follower_after_restart(document, self._started(document.number))
+        if self.follower.quarantined:
             self._log(f"version {document.number} is turned down: {self.follower.why}")
-            return self._own, NOTHING
+            return self._own, NO_VERSION
         return settings, document
 
     def _started(self, number: int) -> int:
@@ -99,7 +99,7 @@
     def _lasted(self) -> None:
         """The process has stood for a while: what it runs does not end it."""
         self._steady = True
-        if self._path is not None and not self.follower.poison:
+        if self._path is not None and not self.follower.quarantined:
             with contextlib.suppress(OSError):
                 self._path.with_suffix(".starts").unlink(missing_ok=True)
 
@@ -161,19 +161,19 @@
             self.follower.why, asked, served, control.wait_ms, self.permit.order,
         )  # fmt: skip
         self.asked += 1
-        told = call(control.url, "POST", "/node", report, patience=control.wait_ms / 1_000.0 + OVER)
+        told = call(control.url, "POST", "/node", report, timeout_s=control.wait_ms / 1_000.0 + OVER)
         return msgspec.convert(told, Answer)
 
     def _follow(self, answer: Answer, asked_at: int) -> bool:
         """Do what the answer says; whether there was news in it."""
         before = self.permit
-        self.permit = before.shut(answer.out, answer.lifted_by, answer.order)
-        if self.permit.out != before.out:
-            self._log(f"shut out: {self.permit.out}" if self.permit.out else "let in again")
+        self.permit = before.fenced(answer.out, answer.lifted_by, answer.order)
+        if self.permit.fence_reason != before.fence_reason:
+            self._log(f"shut out: {self.permit.fence_reason}" if self.permit.fence_reason else "let in again")
         if answer.document is not None:
             self.offered(answer.document)
         # Only now: a node whose permit ran out while it slept would take requests on the old version in between.
-        self.permit = self.permit.granted(asked_at, answer.permit_ms * MS, answer.steps_out)
+        self.permit = self.permit.renewed(asked_at, answer.permit_ms * MS, answer.steps_out)
         if answer.restart and self.follower.running.number != answer.lifted_by:  # else this answer brought it up
             self._log("started anew, as the control service asks")
             self._restart()
@@ -185,21 +185,21 @@
             before = self.follower
             self.follower, do = before.offered(document)
             settings: Node | None = None
-            while do is not Do.NOTHING:
-                if do is Do.CHECK:
+            while do is not InstallStep.NONE:
+                if do is InstallStep.VALIDATE:
                     why = ""
                     try:
                         settings = self._under(document)
                     except SettingsError as error:
                         why = "; ".join(str(problem) for problem in error.problems[:5])
-                    self.follower, do = self.follower.checked(why)
-                elif do is Do.KEEP and self.follower.taking is not None:
-                    self.follower, do = self.follower.kept(self._keep(document))
-                elif do is Do.KEEP:  # the one before is put back
+                    self.follower, do = self.follower.validated(why)
+                elif do is InstallStep.PERSIST and self.follower.installing is not None:
+                    self.follower, do = self.follower.persisted(self._keep(document))
+                elif do is InstallStep.PERSIST:  # the one before is put back
                     self._keep(self.follower.running)
-                    do = Do.NOTHING
+                    do = InstallStep.NONE
                 else:
-                    self.follower, do = self.follower.forced(self._force(settings, document))
+                    self.follower, do = self.follower.applied(self._force(settings, document))
             after = self.follower
         if after.running.number != before.running.number:
             self._log(f"version {after.running.number} is in force ({after.running.digest})")
--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -26,15 +26,15 @@
 from prometheus_client.metrics_core import Metric
 
 from stonetrack import __version__, api, logic
-from stonetrack.audit.account import Acting
-from stonetrack.audit.keeping import Keeper, names, told
+from stonetrack.audit.audit_log import ActingVersion
+from stonetrack.audit.log_writer import LogWriter, lines_after, node_names
 from stonetrack.bootstrap.stages import Stage
 from stonetrack.capture import snapshot
 from stonetrack.capture.codec import Header
 from stonetrack.capture.recorder import Recorder
 from stonetrack.capture.redact import settings_without_names
 from stonetrack.clocks import node_clock
-from stonetrack.control.documents import NOTHING, Document
+from stonetrack.control.documents import NO_VERSION, Document
 from stonetrack.daemon import meters
 from stonetrack.daemon.controlled import Controlled
 from stonetrack.daemon.limits import raise_limits
@@ -101,15 +101,15 @@
         log: Callable[[str], None],
         make_router: MakeRouter,
         origin: Callable[[], str] = lambda: "",
-        keeper: Keeper | None = None,
-        version: Document = NOTHING,
+        keeper: LogWriter | None = None,
+        version: Document = NO_VERSION,
     ) -> None:
         self.settings = settings
         self._origin, self._keeper = origin, keeper
         self.version = version
-        self.acting = Acting()
+        self.acting = ActingVersion()
         if keeper is not None or settings.control.mark:  # nobody else asks for the digests
-            self.acting = Acting(named(settings, version), "", -1, __version__, module_digest())
+            self.acting = ActingVersion(named(settings, version), "", -1, __version__, module_digest())
         self._index, self._instances = index, instances
         told = router_settings(settings, index, instances)
         router = make_router(told, seed)
@@ -157,7 +157,7 @@
             if self._keeper is not None or settings.control.mark:
                 self.acting = structs.replace(self.acting, settings=named(settings, version))
             if self._keeper is not None:
-                self._keeper.turn(self.core.clock(), self.acting)
+                self._keeper.switch_version(self.core.clock(), self.acting)
 
         self.core.run_exclusively(between_two_events)
         self.places.settings = laid
@@ -199,12 +199,12 @@
         if isinstance(event, api.ServerList):
             self.acting = structs.replace(self.acting, origin=self._origin(), version=event.version)
             if self._keeper is not None:
-                self._keeper.turn(now, self.acting)
+                self._keeper.switch_version(now, self.acting)
         if self._keeper is None:
             return
         for action in actions:
             if request := getattr(action, "request", ""):
-                self._keeper.note(now, self.acting, request, (type(action).__name__,))
+                self._keeper.record(now, self.acting, request, (type(action).__name__,))
 
     @staticmethod
     def _recorder(settings: Node, index: int, instances: int, name: str, seed: int, clock: Callable[[], int],
@@ -275,7 +275,7 @@
         self._keeper = self._make_keeper(settings)
         self._asked = self._served = 0
         self._control = self._make_control(settings, restart)
-        version = NOTHING
+        version = NO_VERSION
         if self._control is not None:
             settings, version = self._control.restored()
         self._current = self._generation(settings, version)
@@ -297,18 +297,18 @@
             acting=lambda: self._current.version.digest, restart=restart, log=self._warn, draw=random.Random()
         )  # fmt: skip
 
-    def _generation(self, settings: Node, version: Document = NOTHING) -> Generation:
+    def _generation(self, settings: Node, version: Document = NO_VERSION) -> Generation:
         return Generation(
             settings, self.index, self.instances, self.name, self._seed, self.clock, self._say, self._make_router,
             lambda: self._listing.origin, self._keeper, version
         )  # fmt: skip
 
-    def _make_keeper(self, settings: Node) -> Keeper | None:
+    def _make_keeper(self, settings: Node) -> LogWriter | None:
         """Who writes this instance's account; a change of its settings needs a restart."""
         wanted = settings.audit
         if not wanted.dir:
             return None
-        return Keeper(
+        return LogWriter(
             audit_folder(settings), self.name, self._boot, self.clock,
             every=wanted.every_ms * MS, file_bytes=wanted.file_bytes, most_files=wanted.files, log=self._warn
         )  # fmt: skip
@@ -354,7 +354,7 @@
         if self._control is not None:
             self._control.own_changed(settings)
         else:
-            self._take_settings(settings, NOTHING)
+            self._take_settings(settings, NO_VERSION)
 
     def _take_settings(self, settings: Node, version: Document) -> None:
         """Put settings in force, whole or not at all."""
@@ -465,7 +465,7 @@
     def audit_lines(self, name: str, after: int) -> tuple[bytes, bool]:
         """Lines of an account that is kept in this node's folder, after a number, and whether there are more."""
         folder = audit_folder(self.settings)
-        return told(folder, name, after) if name in names(folder) else (b"", False)
+        return lines_after(folder, name, after) if name in node_names(folder) else (b"", False)
 
     def metrics(self) -> tuple[bytes, str]:
         """The metrics page."""
--- a/stonetrack/fleet/links.py
+++ b/stonetrack/fleet/links.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from stonetrack.control.wire import Answer
+from stonetrack.control.messages import Answer
 from stonetrack.emulator.tap import Tap
 from stonetrack.fleet.listening import bound, end_listening
 from stonetrack.fleet.shape import Pipe, Policy
--- a/stonetrack/fleet/rig.py
+++ b/stonetrack/fleet/rig.py
@@ -25,8 +25,8 @@
 import msgspec
 from msgspec.structs import replace
 
-from stonetrack.control.calls import ControlError
-from stonetrack.control.calls import call as control
+from stonetrack.control.client import ControlError
+from stonetrack.control.client import call as control
 from stonetrack.durable import save
 from stonetrack.election.fence import Token
 from stonetrack.emulator.host import Fleet
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -18,14 +18,14 @@
 
 from stonetrack.cli.main import main
 from stonetrack.control import stale_nodes
-from stonetrack.control.calls import ControlError, call
-from stonetrack.control.documents import NOTHING, Document, digest_of, made, problem
+from stonetrack.control.client import ControlError, call
+from stonetrack.control.documents import NO_VERSION, Document, content_digest, made, problem
 from stonetrack.control.explore import Bounds, Less, explore
-from stonetrack.control.follow import Do, Follower, Permit
+from stonetrack.control.follower import Follower, InstallStep, Lease
 from stonetrack.control.history import History, HistoryError, drawn, fields, restored
-from stonetrack.control.rollout import Next, Sample, Terms, Verdict, step, verdict
+from stonetrack.control.messages import Answer, Report
+from stonetrack.control.rollout import NodeSample, SprtParameters, StageAction, Verdict, next_action, verdict
 from stonetrack.control.stale_nodes import Evidence, Node, Order, Rules, orders
-from stonetrack.control.wire import Answer, Report
 from stonetrack.daemon.controlled import Controlled
 from stonetrack.fleet.processes import program
 from stonetrack.settings import parse
@@ -39,8 +39,8 @@
 
 
 def test_a_digest_is_of_the_content_whatever_its_order() -> None:
-    assert digest_of({"a": 1, "b": {"c": 2, "d": 3}}) == digest_of({"b": {"d": 3, "c": 2}, "a": 1})
-    assert digest_of({"a": 1}) != digest_of({"a": 2})
+    assert content_digest({"a": 1, "b": {"c": 2, "d": 3}}) == content_digest({"b": {"d": 3, "c": 2}, "a": 1})
+    assert content_digest({"a": 1}) != content_digest({"a": 2})
     assert "digest" in problem(replace_document(document(1), content={"a": 1}))
     assert "a node's own" in problem(made(1, {"name": "n", "routing": {}}, "rule"))
     assert "allowed: rule, weight" in problem(made(1, {}, "other")) and not problem(document(1))
@@ -56,7 +56,11 @@
 
 def taken(follower: Follower, offer: Document) -> Follower:
     follower, do = follower.offered(offer)
-    for expected, went in ((Do.CHECK, Follower.checked), (Do.KEEP, Follower.kept), (Do.FORCE, Follower.forced)):
+    for expected, went in (
+        (InstallStep.VALIDATE, Follower.validated),
+        (InstallStep.PERSIST, Follower.persisted),
+        (InstallStep.APPLY, Follower.applied),
+    ):
         assert do is expected
         follower, do = went(follower, "")
     return follower
@@ -64,24 +68,26 @@
 
 def test_a_version_is_checked_kept_forced_and_only_then_acknowledged() -> None:
     follower = taken(Follower(), document(3))
-    assert follower.running.number == 3 and follower.offered(document(2))[1] is Do.NOTHING
+    assert follower.running.number == 3 and follower.offered(document(2))[1] is InstallStep.NONE
     assert follower.offered(document(3))[0] is follower
-    for fails, left in ((Follower.checked, 0), (Follower.kept, 1), (Follower.forced, 2)):
+    for fails, left in ((Follower.validated, 0), (Follower.persisted, 1), (Follower.applied, 2)):
         tried, _ = follower.offered(document(4))
-        for went in (Follower.checked, Follower.kept)[:left]:
+        for went in (Follower.validated, Follower.persisted)[:left]:
             tried, _ = went(tried, "")
         tried, do = fails(tried, "no")
         assert tried.running.number == 3 and (tried.refused, tried.why) == (4, "no")
-        assert do is (Do.KEEP if fails is Follower.forced else Do.NOTHING)  # the one before is put back on disk
+        assert do is (
+            InstallStep.PERSIST if fails is Follower.applied else InstallStep.NONE
+        )  # the one before is put back on disk
         assert taken(tried, document(5)).refused == 0
 
 
 def test_old_owners_and_numbers_that_mean_two_things_are_turned_down() -> None:
     follower = taken(Follower(), document(3, term=5))
     late, do = follower.offered(document(9, term=4))
-    assert do is Do.NOTHING and late.running.number == 3 and "term 4 is over" in late.why
+    assert do is InstallStep.NONE and late.running.number == 3 and "term 4 is over" in late.why
     twice, do = follower.offered(document(3, term=5, value=77))
-    assert do is Do.NOTHING and "means two things" in twice.why
+    assert do is InstallStep.NONE and "means two things" in twice.why
 
 
 def test_a_version_that_ends_each_process_does_not_hold_the_node_for_ever(tmp_path: Path) -> None:
@@ -98,12 +104,12 @@
         settings, document_of = started().restored()
         assert document_of.number == 7 and settings.routing.max_attempts == 3
     fourth = started()
-    assert fourth.restored() == (own, NOTHING) and "ended under it 3 times" in said[-1]
+    assert fourth.restored() == (own, NO_VERSION) and "ended under it 3 times" in said[-1]
     assert fourth.follower.refused == 7
     fourth.offered(made(7, {"routing": {"max_attempts": 3}}, "rule", 2, "s"))  # told again: it does not try again
-    assert fourth.follower.running is NOTHING
+    assert fourth.follower.running is NO_VERSION
     fourth.offered(document(8, term=2))
-    assert fourth.follower.running.number == 8 and not fourth.follower.poison
+    assert fourth.follower.running.number == 8 and not fourth.follower.quarantined
     assert started().restored()[1].number == 8  # its starts are counted anew
     fourth._lasted()
     assert started().restored()[1].number == 8 and not said[-1].startswith("version 8 is turned down")
@@ -135,7 +141,7 @@
 
     def explore(self) -> tuple[int, list[str]]:
         """States seen, and what was broken: shortest first."""
-        begin = (Follower(), NOTHING, NOTHING, 0)  # state, disk, acknowledged last, highest term acknowledged
+        begin = (Follower(), NO_VERSION, NO_VERSION, 0)  # state, disk, acknowledged last, highest term acknowledged
         seen, wrong, queue = {repr(begin)}, [], deque([begin])
         while queue:
             state = queue.popleft()
@@ -154,20 +160,22 @@
         found: list[tuple[str, World.State]] = []
         back = Follower(running=disk, term=disk.term)
         found.append(("kill", (back, disk, said, term)))
-        if follower.taking is None:
+        if follower.installing is None:
             for offer in self.OFFERS:
                 asked = follower if self.fenced else replace(follower, term=0)
                 found.append((f"offer {offer.number}", (asked.offered(offer)[0], disk, said, term)))
-        elif follower.step is Do.CHECK:
-            found += [(f"check {why}", (follower.checked(why)[0], disk, said, term)) for why in ("", "bad")]
-        elif follower.step is Do.KEEP:
-            found.append(("disk full", (follower.kept("full")[0], disk, said, term)))
-            found.append(("kept", (follower.kept("")[0], follower.taking if self.synced else disk, said, term)))
-        elif follower.step is Do.FORCE:
-            undone, do = follower.forced("no")
-            assert do is Do.KEEP
+        elif follower.step is InstallStep.VALIDATE:
+            found += [(f"check {why}", (follower.validated(why)[0], disk, said, term)) for why in ("", "bad")]
+        elif follower.step is InstallStep.PERSIST:
+            found.append(("disk full", (follower.persisted("full")[0], disk, said, term)))
+            found.append(
+                ("kept", (follower.persisted("")[0], follower.installing if self.synced else disk, said, term))
+            )
+        elif follower.step is InstallStep.APPLY:
+            undone, do = follower.applied("no")
+            assert do is InstallStep.PERSIST
             found.append(("can't go on", (undone, undone.running, said, term)))
-            done = follower.forced("")[0]
+            done = follower.applied("")[0]
             found.append(("in force", (done, disk, done.running, max(term, done.running.term))))
         return found
 
@@ -197,16 +205,16 @@
 
 
 def test_a_permit_counts_from_the_question_and_steps_out_only_where_it_must() -> None:
-    permit = Permit()
+    permit = Lease()
     assert not permit.refusal(10**18, 0)  # never told of any: serves on
-    assert "no permit yet" in Permit(steps_out=True).refusal(10**18, 0)  # unless its own settings say otherwise
-    out = permit.granted(100, 50, steps_out=True)
+    assert "no permit yet" in Lease(steps_out=True).refusal(10**18, 0)  # unless its own settings say otherwise
+    out = permit.renewed(100, 50, steps_out=True)
     assert not out.refusal(149, 0) and "run out" in out.refusal(150, 0)
-    assert not permit.granted(100, 50, steps_out=False).refusal(10**18, 0)
-    assert not out.granted(140, 50, steps_out=True).refusal(150, 0)
-    shut = out.granted(10**17, 50, steps_out=True).shut("runs an older one", 7)
+    assert not permit.renewed(100, 50, steps_out=False).refusal(10**18, 0)
+    assert not out.renewed(140, 50, steps_out=True).refusal(150, 0)
+    shut = out.renewed(10**17, 50, steps_out=True).fenced("runs an older one", 7)
     assert shut.refusal(10**17, 6) == "runs an older one" and not shut.refusal(10**17, 7)
-    assert not shut.shut("", 0).refusal(10**17, 6)
+    assert not shut.fenced("", 0).refusal(10**17, 6)
 
 
 ASKS = st.lists(st.tuples(st.integers(0, 50), st.integers(0, 20), st.integers(0, 30)), max_size=12)
@@ -217,12 +225,12 @@
     asks: list[tuple[int, int, int]], look: int
 ) -> None:
     """Whatever the answers take on their way: counted from the answer, a permit ends later than from the question."""
-    permit, service, now = Permit(), 0, 0
+    permit, service, now = Lease(), 0, 0
     for pause, there, back in asks:
         asked = now = now + pause
         service = max(service, asked + there + 40)
         now += there + back
-        permit = permit.granted(asked, 40, steps_out=True)
+        permit = permit.renewed(asked, 40, steps_out=True)
     taking = not permit.refusal(look, 0)
     assert not (taking and service and look >= service)
 
@@ -300,24 +308,24 @@
     nodes, made_orders = look(nodes, 2, 3 * SECOND)
     assert made_orders["n0"] == (Order.NONE, Evidence.BEHIND)  # within its grace
     nodes, made_orders = look(nodes, 2, 5 * SECOND)
-    assert made_orders["n0"] == (Order.RESTART, Evidence.BEHIND) and made_orders["n1"][1] is Evidence.FINE
+    assert made_orders["n0"] == (Order.RESTART, Evidence.BEHIND) and made_orders["n1"][1] is Evidence.CURRENT
     nodes, made_orders = look(nodes, 2, 6 * SECOND)
     assert made_orders["n0"][0] is Order.NONE  # not twice in a row
     nodes, made_orders = look(nodes, 2, 12 * SECOND)
-    assert made_orders["n0"][0] is Order.OUT and nodes["n0"].out
+    assert made_orders["n0"][0] is Order.FENCE and nodes["n0"].out
     nodes["n0"] = nodes["n0"].reported(13 * SECOND, "b", 2, "d2", "d2", 0, "")
     nodes, made_orders = look(nodes, 2, 13 * SECOND)
-    assert made_orders["n0"] == (Order.NONE, Evidence.FINE) and not nodes["n0"].out
+    assert made_orders["n0"] == (Order.NONE, Evidence.CURRENT) and not nodes["n0"].out
 
 
 def test_evidence_has_names() -> None:
     node = fleet(1)["n0"].to_run(0, 2)
     cases = {
         Evidence.SILENT: replace(node, heard=-11 * SECOND),
-        Evidence.MISTAKEN: node.reported(0, "b", 2, "d2", "d1", 0, ""),
-        Evidence.FINE: node.reported(0, "b", 2, "d2", "d2", 0, ""),
-        Evidence.LOST: node.reported(0, "b", 1, "d1", "d1", 0, "").reported(0, "c", 0, "d0", "d0", 0, ""),
-        Evidence.TURNED_DOWN: node.reported(0, "b", 1, "d1", "d1", 2, "no"),
+        Evidence.INCONSISTENT: node.reported(0, "b", 2, "d2", "d1", 0, ""),
+        Evidence.CURRENT: node.reported(0, "b", 2, "d2", "d2", 0, ""),
+        Evidence.LOST_STATE: node.reported(0, "b", 1, "d1", "d1", 0, "").reported(0, "c", 0, "d0", "d0", 0, ""),
+        Evidence.REJECTED: node.reported(0, "b", 1, "d1", "d1", 2, "no"),
         Evidence.BEHIND: node,
     }
     for wanted, each in cases.items():
@@ -334,10 +342,10 @@
     nodes["n0"] = nodes["n0"].reported(60 * SECOND, "another", 1, "d1", "d1", 0, "")  # an old disk was put back
     nodes, given_orders = look(nodes, 2, 61 * SECOND)
     assert given_orders["n0"][0] is Order.NONE
-    assert look(nodes, 2, 71 * SECOND)[1]["n0"][0] is Order.OUT
+    assert look(nodes, 2, 71 * SECOND)[1]["n0"][0] is Order.FENCE
     for n in range(5):
         nodes["n0"] = nodes["n0"].reported((62 + 3 * n) * SECOND, f"boot {n}", 1, "d1", "d1", 0, "")
-    assert look(nodes, 2, 75 * SECOND)[1]["n0"] == (Order.OUT, Evidence.FLAPPING)
+    assert look(nodes, 2, 75 * SECOND)[1]["n0"] == (Order.FENCE, Evidence.FLAPPING)
 
 
 def test_a_version_that_most_turn_down_shuts_nobody_out() -> None:
@@ -348,7 +356,7 @@
     some = {
         name: node if name < "n3" else node.reported(SECOND, "b", 2, "d2", "d2", 0, "") for name, node in nodes.items()
     }
-    assert sum(order is Order.OUT for order, _ in look(some, 2, 100 * SECOND)[1].values()) == 2
+    assert sum(order is Order.FENCE for order, _ in look(some, 2, 100 * SECOND)[1].values()) == 2
 
 
 @given(st.integers(1, 60), st.floats(0.0, 1.0), st.randoms(use_true_random=False))
@@ -365,7 +373,7 @@
                 nodes[name] = reported
         kind = draw.choice(["rule", "weight"])
         nodes, given_orders = look(nodes, draw.randrange(1, 4), now, kind, rules, heard=False)
-        out = {name for name, (order, _) in given_orders.items() if order is Order.OUT}
+        out = {name for name, (order, _) in given_orders.items() if order is Order.FENCE}
         silent = {name for name, (_, seen) in given_orders.items() if seen is Evidence.SILENT}
         assert not out or len(out) + len(silent) <= most * count
         assert out == {name for name, node in nodes.items() if node.out}
@@ -402,7 +410,7 @@
 # Roll-outs.
 
 
-def stage(draw: random.Random, loss: float, nodes: int = 60, share: float = 0.2, asked: int = 30) -> list[Sample]:
+def stage(draw: random.Random, loss: float, nodes: int = 60, share: float = 0.2, asked: int = 30) -> list[NodeSample]:
     """Nodes that differ by themselves, and a version that costs ``loss`` of the service."""
     made_of = []
     for n in range(nodes):
@@ -410,7 +418,7 @@
         staged = n < share * nodes
         now = usual - loss if staged else usual
         before = 4 * asked
-        made_of.append(Sample(staged, asked, sum(draw.random() < now for _ in range(asked)), before,
+        made_of.append(NodeSample(staged, asked, sum(draw.random() < now for _ in range(asked)), before,
                               sum(draw.random() < usual for _ in range(before))))  # fmt: skip
     return made_of
 
@@ -420,9 +428,9 @@
     draw, total = random.Random(seed), stage(random.Random(seed), loss, asked=5)
     for _ in range(60):
         more = stage(draw, loss, asked=10)
-        total = [Sample(a.staged, a.asked + b.asked, a.served + b.served, a.asked_before + b.asked_before,
+        total = [NodeSample(a.staged, a.asked + b.asked, a.served + b.served, a.asked_before + b.asked_before,
                         a.served_before + b.served_before) for a, b in zip(total, more, strict=True)]  # fmt: skip
-        found = verdict(total, Terms())
+        found = verdict(total, SprtParameters())
         if found is not Verdict.UNSURE:
             return found
     return Verdict.UNSURE
@@ -436,19 +444,22 @@
 
 
 def test_nodes_that_go_silent_speak_before_any_request() -> None:
-    calm = [Sample(n < 5, 0, 0) for n in range(20)]
-    assert verdict(calm, Terms()) is Verdict.UNSURE
-    gone = [replace(s, gone=s.staged and n < 3) for n, s in enumerate(calm)]
-    assert verdict(gone, Terms()) is Verdict.WORSE
-    cut = [replace(s, gone=n % 2 == 0) for n, s in enumerate(calm)]  # half of all: a cut, not the version
-    assert verdict(cut, Terms()) is Verdict.UNSURE
+    calm = [NodeSample(n < 5, 0, 0) for n in range(20)]
+    assert verdict(calm, SprtParameters()) is Verdict.UNSURE
+    gone = [replace(s, silent=s.staged and n < 3) for n, s in enumerate(calm)]
+    assert verdict(gone, SprtParameters()) is Verdict.WORSE
+    cut = [replace(s, silent=n % 2 == 0) for n, s in enumerate(calm)]  # half of all: a cut, not the version
+    assert verdict(cut, SprtParameters()) is Verdict.UNSURE
 
 
 def test_a_stage_stands_and_goes_back_where_nobody_can_tell() -> None:
-    assert step(Verdict.WORSE, 0.0, 10.0, 60.0) is Next.BACK
-    assert step(Verdict.NOT_WORSE, 5.0, 10.0, 60.0) is Next.WAIT
-    assert step(Verdict.NOT_WORSE, 10.0, 10.0, 60.0) is Next.ON
-    assert step(Verdict.UNSURE, 59.0, 10.0, 60.0) is Next.WAIT and step(Verdict.UNSURE, 60.0, 10.0, 60.0) is Next.BACK
+    assert next_action(Verdict.WORSE, 0.0, 10.0, 60.0) is StageAction.ROLL_BACK
+    assert next_action(Verdict.NOT_WORSE, 5.0, 10.0, 60.0) is StageAction.WAIT
+    assert next_action(Verdict.NOT_WORSE, 10.0, 10.0, 60.0) is StageAction.ADVANCE
+    assert (
+        next_action(Verdict.UNSURE, 59.0, 10.0, 60.0) is StageAction.WAIT
+        and next_action(Verdict.UNSURE, 60.0, 10.0, 60.0) is StageAction.ROLL_BACK
+    )
 
 
 def test_every_order_of_what_a_service_is_told_ends_in_one_history() -> None:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -13,8 +13,8 @@
 from click.testing import CliRunner
 
 from stonetrack.cli.main import main
-from stonetrack.control.calls import ControlError
-from stonetrack.control.calls import call as control
+from stonetrack.control.client import ControlError
+from stonetrack.control.client import call as control
 from stonetrack.controller import jobs
 from stonetrack.controller.calls import Receivers
 from stonetrack.controller.captures import retained
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -12,8 +12,8 @@
 import pytest
 
 from stonetrack import durable
-from stonetrack.audit import keeping
-from stonetrack.audit.account import Acting
+from stonetrack.audit import log_writer
+from stonetrack.audit.audit_log import ActingVersion
 from stonetrack.cas_store.embedded import Embedded
 from stonetrack.cas_store.ports import RegisterError, Unknown
 from stonetrack.durable import save
@@ -145,14 +145,14 @@
         durable.sync_directory(tmp_path / "nowhere")
 
 
-def keeper(folder: Path, logged: list[str], most_files: int = 8, file_bytes: int = 1 << 20) -> keeping.Keeper:
-    return keeping.Keeper(folder, "n0", "boot", lambda: 0, every=1, file_bytes=file_bytes, most_files=most_files,
+def keeper(folder: Path, logged: list[str], most_files: int = 8, file_bytes: int = 1 << 20) -> log_writer.LogWriter:
+    return log_writer.LogWriter(folder, "n0", "boot", lambda: 0, every=1, file_bytes=file_bytes, most_files=most_files,
                           log=logged.append)  # fmt: skip
 
 
-def noted(audit_keeper: keeping.Keeper, count: int, first: int = 0) -> None:
+def noted(audit_keeper: log_writer.LogWriter, count: int, first: int = 0) -> None:
     for n in range(first, first + count):
-        audit_keeper.note(n, Acting("s.d", "o", n, "1", "m"), f"q{n}", ("Send",))
+        audit_keeper.record(n, ActingVersion("s.d", "o", n, "1", "m"), f"q{n}", ("Send",))
 
 
 @pytest.mark.parametrize("step", ["open", "fsync", "folder"])
@@ -168,12 +168,12 @@
     with monkeypatch.context() as patched:
         at = FaultAtStep(patched, step, fails(errno.EIO))
         audit_keeper._write(all_of=True)
-        assert at.done and audit_keeper.trouble and len(logged) == 1
+        assert at.done and audit_keeper.last_error and len(logged) == 1
     noted(audit_keeper, 3, 6)
     audit_keeper._write(all_of=True)
-    found = keeping.account(tmp_path, "n0")
-    assert not audit_keeper.trouble and found.findings == ()
-    assert len(keeping.files(tmp_path, "n0")) == 2
+    found = log_writer.read_log(tmp_path, "n0")
+    assert not audit_keeper.last_error and found.findings == ()
+    assert len(log_writer.log_files(tmp_path, "n0")) == 2
 
 
 def test_an_old_file_that_can_not_be_removed_causes_no_repeated_line(
@@ -190,8 +190,8 @@
     for n in range(5):
         noted(audit_keeper, 1, n)
         audit_keeper._write(all_of=True)
-    found = keeping.account(tmp_path, "n0")
-    assert found.findings == () and not audit_keeper.trouble
+    found = log_writer.read_log(tmp_path, "n0")
+    assert found.findings == () and not audit_keeper.last_error
 
 
 class _FailingStore:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from stonetrack.api import Role
-from stonetrack.audit.keeping import account
+from stonetrack.audit.log_writer import read_log
 from stonetrack.emulator.engine import WARM, Engine, Reply, Spec
 from stonetrack.emulator.tap import Tap, read
 from stonetrack.fleet import judge
@@ -562,8 +562,8 @@
 ) -> None:
     """What engines saw against what nodes say of themselves: nothing is missing but what the power cut took."""
     folder = plays["power cut"][1]
-    accounts = {f"n{n}-0": account(folder / f"n{n}" / "state" / "audit", f"n{n}-0") for n in range(3)}
-    assert all(read.whole for read in accounts.values())
+    accounts = {f"n{n}-0": read_log(folder / f"n{n}" / "state" / "audit", f"n{n}-0") for n in range(3)}
+    assert all(read.intact for read in accounts.values())
     boots = {name: {span.boot for span in read.spans} for name, read in accounts.items()}
     assert all(len(each) == 2 for each in boots.values())  # before the cut and after it, in one chain
     told = {(origin, version) for origin, version in versions(made.log)}
@@ -574,7 +574,7 @@
     lost = missing = 0
     for attempt in attempts:
         at = attempt["t"] - made.start
-        if any(span.may_hold(attempt["id"]) for span in accounts[attempt["instance"]].spans):
+        if any(span.may_contain(attempt["id"]) for span in accounts[attempt["instance"]].spans):
             continue
         lost += cut - 2 * SECOND <= at <= cut + SECOND // 2
         missing += not cut - 2 * SECOND <= at <= cut + SECOND // 2
