--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -104,7 +104,7 @@
     "engines/failure_hints.py", "control/documents.py", "control/follower.py", "control/history.py",
     "control/rollout.py",
     "control/settings.py", "control/explore.py", "control/stale_nodes.py", "control/messages.py",
-    "daemon/places.py", "engines/idle_timeouts.py", "controller/retaining.py",
+    "daemon/stable_positions.py", "engines/idle_timeouts.py", "controller/retaining.py",
     "controller/settings.py", "fleet/shape.py",
     "fleet/script.py", "fleet/model.py", "fleet/judge.py", "fleet/serving.py", "fleet/faulted.py",
     "frontend/answers.py", "frontend/classify.py", "frontend/auth.py", "frontend/errors.py",
@@ -115,7 +115,7 @@
     "capture/journal.py", "manage/framing.py", "manage/datastore.py", "manage/yang.py", "manage/model.py",
     "manage/messages.py", "edge/config.py", "edge/requests.py", "edge/exchange.py", "edge/engine_table.py",
     "edge/budget.py",
-    "background/wheel.py", "background/plan.py", "logic.py", "api.py",
+    "background/timer_wheel.py", "background/scheduler.py", "logic.py", "api.py",
 ]  # fmt: skip
 BANNED = {"asyncio", "socketserver", "http", "urllib", "xmlrpc", "requests", "httpx", "h11", "h2", "grpc"}
 # A helper of the standard library that opens nothing: reading a query string.
