--- a/stonetrack/daemon/supervisor.py
+++ b/stonetrack/daemon/supervisor.py
@@ -31,18 +31,18 @@
 import msgspec
 
 from stonetrack.daemon.limits import raise_limits
-from stonetrack.daemon.naming import node_name
+from stonetrack.daemon.node_name import node_name
 from stonetrack.frontend.host import listen
 from stonetrack.settings import Node, SettingsError, load
 
 if TYPE_CHECKING:
-    from stonetrack.capture.tend import Tender
+    from stonetrack.capture.maintenance import MaintenanceRunner
 
 FIRST_PAUSE, LONGEST_PAUSE, STEADY = 0.1, 5.0, 10.0
 
 
 @dataclass
-class Child:
+class ChildProcess:
     """One instance's place."""
 
     index: int
@@ -73,11 +73,11 @@
         raise_limits()
         self.listener = listen(settings.listen.host, settings.listen.port, settings.listen.backlog)
         self.port: int = self.listener.getsockname()[1]
-        self.children = [Child(n) for n in range(instances)]
+        self.children = [ChildProcess(n) for n in range(instances)]
         self._wake_read, self._wake_write = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
         self._signals: list[int] = []
         self._told_ready = False
-        self._tender: Tender | None = None
+        self._tender: MaintenanceRunner | None = None
         if settings.state_dir:
             Path(settings.state_dir).mkdir(parents=True, exist_ok=True)
         self.name = node_name(settings)
@@ -89,7 +89,7 @@
 
     # Instances.
 
-    def _spawn(self, child: Child) -> None:
+    def _spawn(self, child: ChildProcess) -> None:
         lifeline_read, child.lifeline = os.pipe2(os.O_CLOEXEC)
         child.status, status_write = os.pipe2(os.O_CLOEXEC)
         command = [
@@ -126,14 +126,14 @@
         child.ready, child.began, child.starts = False, time.monotonic(), child.starts + 1
         self._send(child, self.settings)
 
-    def _send(self, child: Child, settings: Node) -> None:
+    def _send(self, child: ChildProcess, settings: Node) -> None:
         data = msgspec.json.encode(settings)
         with contextlib.suppress(OSError):
             view = memoryview(len(data).to_bytes(4, "big") + data)
             while view:
                 view = view[os.write(child.lifeline, view) :]
 
-    def _reap(self, child: Child) -> None:
+    def _reap(self, child: ChildProcess) -> None:
         """Note an instance that has ended."""
         process = child.process
         if process is None or process.poll() is None:
@@ -189,11 +189,11 @@
         if not wanted.dir or not wanted.tend_share:
             return
         from stonetrack.capture.codec import CaptureError
-        from stonetrack.capture.tend import Tender
+        from stonetrack.capture.maintenance import MaintenanceRunner
 
         try:
-            self._tender = Tender(
-                Path(wanted.dir), budget_bytes=wanted.budget_bytes, log=self.log.warning, share=wanted.tend_share,
+            self._tender = MaintenanceRunner(
+                Path(wanted.dir), budget_bytes=wanted.budget_bytes, log=self.log.warning, cpu_share=wanted.tend_share,
                 bytes_per_second=float(wanted.tend_bytes_per_second), states_every=wanted.states_every)  # fmt: skip
             self._tender.start()
         except (CaptureError, OSError) as error:
@@ -281,6 +281,6 @@
     return None if head is None else whole(int.from_bytes(head, "big"))
 
 
-def inherited(fd: int) -> socket.socket:
+def inherited_listener(fd: int) -> socket.socket:
     """The listening socket that was passed on."""
     return socket.socket(fileno=fd)
