--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,8 +1,9 @@
-"""Opening and seeking in a large capture: by the index, by a key for each request in LMDB, and by reading.
+"""Opening and seeking in a large capture: by the index, by one LMDB key per request and block, and by reading all
+records.
 
     .venv/bin/python -m benchmarks.store [--events N]
 
-The events are a small history told again and again under later clocks and other names: seeking does not look at decisions.
+The events are a short history repeated with later clocks and other request ids: seeking does not look at decisions.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 
 def history(events: int) -> Iterator[list[Record]]:
-    """Blocks of calls, five a request."""
+    """Blocks of calls, five per request."""
     draw = random.Random(1)
     report = api.LoadReport(3.0, 1.0, 0.4, 500.0)
     block: list[Record] = [Header("b", "i0.1", 1, SETTINGS)]
@@ -42,7 +43,7 @@
     while number < events:
         n += 1
         q, r, w = f"chatcmpl-{n:024x}", f"r{draw.randrange(30)}", f"w{draw.randrange(30)}"
-        told: list[tuple[api.Event, tuple[api.Action, ...]]] = [
+        calls: list[tuple[api.Event, tuple[api.Action, ...]]] = [
             (
                 api.RequestArrived(q, 0, f"s{n % 400}", 9_000 * MS, 900, f"b{n % 16}", 500),
                 (api.Send(q, r, 9_000 * MS),),
@@ -55,7 +56,7 @@
             (api.AttemptEnded(q, 1, w, api.Outcome.SERVED, 2 * MS, True, report=report), ()),
             (api.TimerFired(0), (api.SetTimer(0, 50 * MS),)),
         ]
-        for step, (event, actions) in enumerate(told):
+        for step, (event, actions) in enumerate(calls):
             block.append(codec.Call(now + step, event, actions))
             number += 1
             if len(block) == BLOCK:
@@ -66,30 +67,30 @@
 
 
 def write(folder: Path, events: int) -> dict[str, float]:
-    """Write segments, the index and the plain keys; seconds and bytes of each."""
-    spent = {"index s": 0.0, "keys s": 0.0}
-    plain = lmdb.open(str(folder / "plain"), map_size=8 << 30, max_dbs=1)
+    """Write segments, the index and the LMDB keys.  Returns the seconds and bytes of each."""
+    costs = {"index s": 0.0, "keys s": 0.0}
+    key_env = lmdb.open(str(folder / "plain"), map_size=8 << 30, max_dbs=1)
     store = Store(folder)
     blocks = history(events)
     number = at = 0
-    while some := list(itertools.islice(blocks, SEGMENT)):
+    while segment_blocks := list(itertools.islice(blocks, SEGMENT)):
         path = folder / f"i0.1-{at:020d}.cap"
         at += 1
         builder = index.IndexBuilder()
         offset = len(segment.MAGIC)
         with path.open("wb") as file:
             file.write(segment.MAGIC)
-            for records in some:
+            for records in segment_blocks:
                 data = segment.encode_block(map(codec.encode, records), number)
                 file.write(data)
                 start = time.perf_counter()
                 builder.add(segment.Block(offset, len(data), number, len(records)), records)
-                spent["index s"] += time.perf_counter() - start
+                costs["index s"] += time.perf_counter() - start
                 start = time.perf_counter()
-                with plain.begin(write=True) as transaction:
+                with key_env.begin(write=True) as transaction:
                     for name in {name for record in records for name in index.requests_of(record)}:
                         transaction.put(name.encode() + number.to_bytes(8, "big"), b"")
-                spent["keys s"] += time.perf_counter() - start
+                costs["keys s"] += time.perf_counter() - start
                 number += len(records)
                 offset += len(data)
         status = path.stat()
@@ -98,23 +99,23 @@
             print(f"\rwritten {number} of {events}", end="", file=sys.stderr)
     for at in range(20_000, number, 20_000):
         store.put_state(SavedState("i0.1", at, 1_000 * MS + at * 5 * MS, "b", b"x" * 200_000))
-    plain.sync()
-    spent["index bytes"] = sum(len(store._get(b"segments", path.name) or b"") for path in folder.glob("*.cap"))
-    spent["keys bytes"] = plain.info()["last_pgno"] * 4_096
-    spent["capture bytes"] = sum(path.stat().st_size for path in folder.glob("*.cap"))
+    key_env.sync()
+    costs["index bytes"] = sum(len(store._get(b"segments", path.name) or b"") for path in folder.glob("*.cap"))
+    costs["keys bytes"] = key_env.info()["last_pgno"] * 4_096
+    costs["capture bytes"] = sum(path.stat().st_size for path in folder.glob("*.cap"))
     store.close()
-    plain.close()
-    return spent
+    key_env.close()
+    return costs
 
 
-def timed(do: Callable[[], object], times: int) -> float:
-    """Milliseconds, the median of so many."""
-    took = []
+def median_ms(operation: Callable[[], object], times: int) -> float:
+    """The median duration of ``times`` runs in milliseconds."""
+    durations = []
     for _ in range(times):
         start = time.perf_counter()
-        do()
-        took.append((time.perf_counter() - start) * 1e3)
-    return sorted(took)[times // 2]
+        operation()
+        durations.append((time.perf_counter() - start) * 1e3)
+    return sorted(durations)[times // 2]
 
 
 def main() -> None:
@@ -125,7 +126,7 @@
     draw = random.Random(3)
     with tempfile.TemporaryDirectory() as temporary:
         folder = Path(temporary)
-        spent = write(folder, options.events)
+        costs = write(folder, options.events)
         (files,) = segments_by_router(folder).values()
         end = 1_000 * MS + options.events * 5 * MS
         requests = options.events // 5
@@ -137,23 +138,23 @@
             name = f"chatcmpl-{draw.randrange(1, requests):024x}"
             assert any(name in index.requests_of(r) for _, r in seek.about(folder, HistoryReader(files), name))
 
-        def by_reading() -> None:
+        def by_full_read() -> None:
             name = f"chatcmpl-{requests // 2:024x}"
             assert any(name in index.requests_of(r) for _, r in HistoryReader(files).records())
 
-        def opened() -> None:
+        def open_with_indexes() -> None:
             with Store(folder) as store:
                 assert all(store.index_of(path) is not None for path in files)
 
         print(
-            f"{options.events} events in {len(files)} segments, {spent['capture bytes'] / options.events:.1f} bytes an event"
+            f"{options.events} events in {len(files)} segments, {costs['capture bytes'] / options.events:.1f} bytes an event"
         )
-        print(f"index: {spent['index bytes'] / options.events:.2f} bytes an event, {spent['index s']:.1f} s to make")
+        print(f"index: {costs['index bytes'] / options.events:.2f} bytes an event, {costs['index s']:.1f} s to make")
         print(
-            f"a key for each request and block: {spent['keys bytes'] / options.events:.2f} bytes an event, {spent['keys s']:.1f} s"
+            f"a key for each request and block: {costs['keys bytes'] / options.events:.2f} bytes an event, {costs['keys s']:.1f} s"
         )
-        print(f"open with all indexes {timed(opened, 5):.1f} ms; seek by time {timed(by_time, 15):.1f} ms; "
-              f"by request {timed(by_request, 15):.1f} ms; by reading to the middle {timed(by_reading, 1):.0f} ms")  # fmt: skip
+        print(f"open with all indexes {median_ms(open_with_indexes, 5):.1f} ms; seek by time {median_ms(by_time, 15):.1f} ms; "
+              f"by request {median_ms(by_request, 15):.1f} ms; by reading to the middle {median_ms(by_full_read, 1):.0f} ms")  # fmt: skip
         os.sync()
 
 
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""The background: the wheel against a plain list, the plan's promises, the thread."""
+"""Background jobs: the timer wheel compared with a plain list, the scheduler's invariants, the thread."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     assert (wheel.next_due() is None) == (not plain)
 
 
-def test_a_timer_past_the_wheels_reach_is_neither_early_nor_lost() -> None:
+def test_a_timer_beyond_the_wheels_range_expires_on_time() -> None:
     wheel: TimerWheel[str] = TimerWheel(0, 1)
     wheel.add(RANGE_TICKS * 3 + 5, "far")
     assert wheel.advance(RANGE_TICKS * 3 + 4) == []
@@ -65,22 +65,22 @@
     return Job(name, lambda: StepResult(True), budget, **more)  # type: ignore[arg-type]
 
 
-class Played:
-    """A plan driven by hand: each step takes what the job's name tells it to."""
+class SchedulerRun:
+    """Runs a scheduler with a simulated clock; each step takes the time that ``cost_of`` returns for its job."""
 
     def __init__(self, *budgets: Budget, **more: int) -> None:
         self.now = 0
-        self.plan = Scheduler(0, budgets, **more)
-        self.ran: list[tuple[int, str]] = []
+        self.scheduler = Scheduler(0, budgets, **more)
+        self.steps_run: list[tuple[int, str]] = []
 
-    def until(self, end: int, took: Callable[[Job], int], step: Callable[[Job], StepResult | None]) -> None:
+    def run_until(self, end: int, cost_of: Callable[[Job], int], step: Callable[[Job], StepResult | None]) -> None:
         for _ in range(100_000):
-            found = self.plan.next_job(self.now)
+            found = self.scheduler.next_job(self.now)
             if isinstance(found, Job):
-                self.ran.append((self.now, found.name))
-                cost = took(found)
+                self.steps_run.append((self.now, found.name))
+                cost = cost_of(found)
                 self.now += cost
-                self.plan.record_step(self.now, found, cost, step(found), "broken")
+                self.scheduler.record_step(self.now, found, cost, step(found), "broken")
             elif found is None or found >= end:
                 return
             else:
@@ -91,102 +91,102 @@
 
 @settings(max_examples=25, deadline=None)
 @given(st.floats(0.01, 0.5), st.lists(st.integers(8, 60), min_size=1, max_size=5))
-def test_a_budget_is_kept_over_any_span_but_for_its_burst_and_one_step(share: float, costs: list[int]) -> None:
-    played = Played(Budget("b", share=share, burst_seconds=0.5))
+def test_a_budget_is_exceeded_by_at_most_its_burst_and_one_step(share: float, costs: list[int]) -> None:
+    run = SchedulerRun(Budget("b", share=share, burst_seconds=0.5))
     for n, _ in enumerate(costs):
-        played.plan.submit(0, job(str(n)))
+        run.scheduler.submit(0, job(str(n)))
     used: list[tuple[int, int]] = []
 
-    def took(each: Job) -> int:
+    def cost_of(each: Job) -> int:
         cost = costs[int(each.name)] * MS
-        used.append((played.now, cost))
+        used.append((run.now, cost))
         return cost
 
-    played.until(6 * SECOND, took, lambda each: StepResult(False))
+    run.run_until(6 * SECOND, cost_of, lambda each: StepResult(False))
     for i, (start, _) in enumerate(used[::5]):
         spent = 0
         for at, cost in used[5 * i :]:
             end, spent = at + cost, spent + cost
             assert spent <= share * (end - start) + share * 0.5 * SECOND + max(costs) * MS + MS
     total = sum(cost for _, cost in used)
-    assert total >= 0.8 * share * 6 * SECOND  # and it is used
+    assert total >= 0.8 * share * 6 * SECOND  # the budget is also used up
 
 
-def test_bytes_are_a_budget_of_their_own() -> None:
-    played = Played(Budget("b", share=0.0, bytes_per_second=1_000_000, burst_seconds=0.1))
-    played.plan.submit(0, job("j"))
-    played.until(10 * SECOND, lambda each: 1, lambda each: StepResult(False, 50_000))
-    assert 9.5e6 <= sum(50_000 for _ in played.ran) <= 10.3e6
+def test_bytes_have_a_separate_budget() -> None:
+    run = SchedulerRun(Budget("b", share=0.0, bytes_per_second=1_000_000, burst_seconds=0.1))
+    run.scheduler.submit(0, job("j"))
+    run.run_until(10 * SECOND, lambda each: 1, lambda each: StepResult(False, 50_000))
+    assert 9.5e6 <= sum(50_000 for _ in run.steps_run) <= 10.3e6
 
 
 def test_the_higher_priority_runs_first_and_the_lower_does_not_starve() -> None:
-    played = Played(Budget("b", share=0.0), aging=SECOND)
-    played.plan.submit(0, job("low", priority=0))
-    played.plan.submit(0, job("high", priority=3))
-    played.until(20 * SECOND, lambda each: 10 * MS, lambda each: StepResult(False))
-    names = [name for _, name in played.ran]
+    run = SchedulerRun(Budget("b", share=0.0), aging=SECOND)
+    run.scheduler.submit(0, job("low", priority=0))
+    run.scheduler.submit(0, job("high", priority=3))
+    run.run_until(20 * SECOND, lambda each: 10 * MS, lambda each: StepResult(False))
+    names = [name for _, name in run.steps_run]
     assert names[:100] == ["high"] * 100
     assert 4 <= names.count("low") <= 12
 
 
-def test_a_deadline_overdraws_its_budget_so_far_and_no_further() -> None:
-    for deadline, least, most in ((None, 95, 105), (5 * SECOND, 115, 126)):
-        played = Played(Budget("b", share=0.1, burst_seconds=0.1, max_debt_seconds=2.0))
-        played.plan.submit(0, job("j", deadline=deadline))
-        played.until(10 * SECOND, lambda each: 10 * MS, lambda each: StepResult(False))
-        assert least <= len(played.ran) <= most
-    # What is late runs before what is merely important.
-    played = Played(Budget("b", share=0.0))
-    played.plan.submit(0, job("important", priority=9))
-    played.plan.submit(0, job("late", deadline=0))
-    assert isinstance(first := played.plan.next_job(0), Job) and first.name == "late"
+def test_a_deadline_overdraws_its_budget_up_to_the_debt_limit() -> None:
+    for deadline, min_runs, max_runs in ((None, 95, 105), (5 * SECOND, 115, 126)):
+        run = SchedulerRun(Budget("b", share=0.1, burst_seconds=0.1, max_debt_seconds=2.0))
+        run.scheduler.submit(0, job("j", deadline=deadline))
+        run.run_until(10 * SECOND, lambda each: 10 * MS, lambda each: StepResult(False))
+        assert min_runs <= len(run.steps_run) <= max_runs
+    # An overdue job runs before one of higher priority.
+    run = SchedulerRun(Budget("b", share=0.0))
+    run.scheduler.submit(0, job("important", priority=9))
+    run.scheduler.submit(0, job("late", deadline=0))
+    assert isinstance(first := run.scheduler.next_job(0), Job) and first.name == "late"
 
 
-def test_a_failing_job_is_tried_again_ever_later_then_given_up() -> None:
-    played = Played(Budget("b", share=0.0))
+def test_a_failing_job_is_retried_with_backoff_then_given_up() -> None:
+    run = SchedulerRun(Budget("b", share=0.0))
     failing = job("bad", max_attempts=4)
-    played.plan.submit(0, failing)
-    played.plan.submit(0, job("good", repeat_after=SECOND))
-    played.until(30 * SECOND, lambda each: 1, lambda each: StepResult(True) if each.name == "good" else None)
-    at = [when // SECOND for when, name in played.ran if name == "bad"]
+    run.scheduler.submit(0, failing)
+    run.scheduler.submit(0, job("good", repeat_after=SECOND))
+    run.run_until(30 * SECOND, lambda each: 1, lambda each: StepResult(True) if each.name == "good" else None)
+    at = [when // SECOND for when, name in run.steps_run if name == "bad"]
     assert at == [0, 1, 3, 7] and failing.state is JobState.ENDED and failing.error == "broken"
-    assert len([1 for _, name in played.ran if name == "good"]) >= 29
-    assert list(played.plan.jobs) == ["good"]
+    assert len([1 for _, name in run.steps_run if name == "good"]) >= 29
+    assert list(run.scheduler.jobs) == ["good"]
 
 
-def test_what_was_cancelled_never_runs_and_what_is_hastened_runs_at_once() -> None:
-    plan = Scheduler(0, (Budget("b", share=0.0),))
+def test_a_cancelled_job_never_runs_and_an_expedited_one_runs_at_once() -> None:
+    scheduler = Scheduler(0, (Budget("b", share=0.0),))
     one, two = job("one"), job("two")
-    plan.submit(0, one, due=5 * SECOND)
-    plan.submit(0, two, due=5 * SECOND)
-    plan.cancel(one)
-    plan.expedite(0, two, deadline=0)
-    assert plan.next_job(1 * MS) is two
-    plan.cancel(two)
-    plan.record_step(2 * MS, two, 1, StepResult(False))
-    assert plan.next_job(60 * SECOND) is None and two.state is JobState.ENDED
+    scheduler.submit(0, one, due=5 * SECOND)
+    scheduler.submit(0, two, due=5 * SECOND)
+    scheduler.cancel(one)
+    scheduler.expedite(0, two, deadline=0)
+    assert scheduler.next_job(1 * MS) is two
+    scheduler.cancel(two)
+    scheduler.record_step(2 * MS, two, 1, StepResult(False))
+    assert scheduler.next_job(60 * SECOND) is None and two.state is JobState.ENDED
     with pytest.raises(ValueError, match="budget 'x'; allowed: b"):
-        plan.submit(0, job("three", budget="x"))
-    plan.submit(0, job("three"))
+        scheduler.submit(0, job("three", budget="x"))
+    scheduler.submit(0, job("three"))
     with pytest.raises(ValueError, match="another job of this name"):
-        plan.submit(0, job("three"))
+        scheduler.submit(0, job("three"))
 
 
-def test_the_thread_runs_steps_and_outlives_what_they_raise() -> None:
-    said: list[str] = []
-    left = [3]
+def test_the_thread_runs_steps_and_survives_their_exceptions() -> None:
+    log_lines: list[str] = []
+    steps_left = [3]
     done = threading.Event()
 
     def work() -> StepResult:
-        left[0] -= 1
-        if not left[0]:
+        steps_left[0] -= 1
+        if not steps_left[0]:
             done.set()
-        return StepResult(not left[0], 10)
+        return StepResult(not steps_left[0], 10)
 
     def broken() -> StepResult:
         raise OSError("no such disk")
 
-    runner = Runner((Budget("b", share=0.0),), said.append)
+    runner = Runner((Budget("b", share=0.0),), log_lines.append)
     runner.submit(Job("broken", broken, "b", max_attempts=1))
     counted = Job("work", work, "b")
     runner.submit(counted)
@@ -195,7 +195,7 @@
     runner.start()
     assert done.wait(10.0) and wait_for(lambda: [j.name for j in runner.jobs()] == ["later"])
     assert counted.steps == 3 and counted.bytes == 30
-    assert said == ["background: broken given up after 1 tries: OSError: no such disk"]
+    assert log_lines == ["background: broken given up after 1 tries: OSError: no such disk"]
     runner.expedite(later)
     assert wait_for(lambda: not runner.jobs())
     runner.stop()
--- a/tests/test_tending.py
+++ b/tests/test_capture_maintenance.py
@@ -1,4 +1,4 @@
-"""What is done to captures in the background: indexes, states, packing, retention; and what a kill leaves of it."""
+"""Maintenance of captures: indexes, snapshots, packing, retention; also after a kill at any step."""
 
 from __future__ import annotations
 
@@ -24,44 +24,46 @@
 from tests.test_replaying import numbered
 
 
-def tended(folder: Path, **more: int) -> list[str]:
-    """Do all there is to do; what was said."""
-    said: list[str] = []
-    tender = MaintenanceRunner(folder, budget_bytes=more.pop("budget_bytes", 1 << 40), log=said.append, **more)
+def run_maintenance(folder: Path, **options: int) -> list[str]:
+    """Run all pending maintenance jobs.  Returns the log lines."""
+    log_lines: list[str] = []
+    maintenance_runner = MaintenanceRunner(
+        folder, budget_bytes=options.pop("budget_bytes", 1 << 40), log=log_lines.append, **options
+    )
     try:
-        tender.run_once()
+        maintenance_runner.run_once()
     finally:
-        tender.stop()
-    return said
+        maintenance_runner.stop()
+    return log_lines
 
 
-def test_tending_indexes_checks_packs_and_keeps_states_and_changes_no_record(tmp_path: Path) -> None:
-    made = calls(3_000)
-    write(tmp_path, made, segment_bytes=8_000, block_records=25)
+def test_maintenance_indexes_packs_and_stores_snapshots_without_changing_records(tmp_path: Path) -> None:
+    recorded = calls(3_000)
+    write(tmp_path, recorded, segment_bytes=8_000, block_records=25)
     before = sum(path.stat().st_size for path in files(tmp_path))
-    assert tended(tmp_path, states_every=500) == []
+    assert run_maintenance(tmp_path, states_every=500) == []
     after = sum(path.stat().st_size for path in files(tmp_path))
     assert after < 0.8 * before and not list(tmp_path.glob("*.packing"))
     (name,) = history.segments_by_router(tmp_path)
     reading = HistoryReader(files(tmp_path))
-    assert list(reading) == numbered(made) and not reading.damage
+    assert list(reading) == numbered(recorded) and not reading.damage
     with Store(tmp_path) as store:
         assert all(store.index_of(path) is not None for path in files(tmp_path))
         assert [s.number for s in store.states(name)] == [500, 1_000, 1_500, 2_000, 2_500, 3_000]
-    late = list(seek.since(tmp_path, HistoryReader(files(tmp_path)), made[-1].at))
-    assert late[0][0] == 3_000 and replay_numbered(late).matches
-    assert tended(tmp_path, states_every=500) == []  # nothing is left to do
+    from_snapshot = list(seek.since(tmp_path, HistoryReader(files(tmp_path)), recorded[-1].at))
+    assert from_snapshot[0][0] == 3_000 and replay_numbered(from_snapshot).matches
+    assert run_maintenance(tmp_path, states_every=500) == []  # nothing is left to do
 
 
-def test_a_replay_in_pieces_says_what_a_whole_one_does(tmp_path: Path) -> None:
-    made = calls(2_000)
-    write(tmp_path, made, segment_bytes=8_000, block_records=50)
+def test_a_replay_in_pieces_has_the_same_result_as_a_whole_one(tmp_path: Path) -> None:
+    recorded = calls(2_000)
+    write(tmp_path, recorded, segment_bytes=8_000, block_records=50)
     without = command("replay", str(tmp_path), "--jobs", "3")
     assert without.returncode == 2 and "no states" in without.stderr
-    tended(tmp_path, states_every=250)
+    run_maintenance(tmp_path, states_every=250)
     done = command("replay", str(tmp_path), "--jobs", "3")
     assert done.returncode == 0 and "2000 calls replayed in 9 pieces, 0 skipped, 0 missing" in done.stdout, done.stderr
-    with Store(tmp_path) as store:  # a state that is not what the calls before it lead to
+    with Store(tmp_path) as store:  # a snapshot that does not match the calls before it
         wrong, right = list(store.states("i0.1"))[2:4]
         store.put_state(replace(wrong, number=right.number, at=right.at))
     done = command("replay", str(tmp_path), "--jobs", "3")
@@ -69,43 +71,43 @@
     assert command("replay", str(tmp_path), "--jobs", "3", "--since", "1").returncode == 2
 
 
-def test_a_decision_that_differs_is_found_by_tending_and_noted(tmp_path: Path) -> None:
-    made = calls(600)
-    n = next(i for i, c in enumerate(made) if i > 300 and c.actions)
-    write(tmp_path, [*made[:n], Call(made[n].at, made[n].event, ()), *made[n + 1 :]])
-    said = tended(tmp_path)
-    assert len(said) == 1 and f"call {n + 1} of" in said[0]
+def test_maintenance_notes_a_decision_that_differs(tmp_path: Path) -> None:
+    recorded = calls(600)
+    n = next(i for i, c in enumerate(recorded) if i > 300 and c.actions)
+    write(tmp_path, [*recorded[:n], Call(recorded[n].at, recorded[n].event, ()), *recorded[n + 1 :]])
+    log_lines = run_maintenance(tmp_path)
+    assert len(log_lines) == 1 and f"call {n + 1} of" in log_lines[0]
     with Store(tmp_path) as store:
         assert "decided otherwise" in store.notes()[0][2]
     assert "note on" in command("capture", "ls", str(tmp_path)).stdout
 
 
-def test_a_damaged_segment_is_said_and_left_as_it_was(tmp_path: Path) -> None:
+def test_a_damaged_segment_is_logged_and_not_changed(tmp_path: Path) -> None:
     write(tmp_path, calls(400), block_records=50)
     (path,) = files(tmp_path)
     data = bytearray(path.read_bytes())
     data[len(data) // 2] ^= 1
     path.write_bytes(data)
-    said = tended(tmp_path)
-    assert len(said) == 1 and path.name in said[0] and "offset" in said[0]
+    log_lines = run_maintenance(tmp_path)
+    assert len(log_lines) == 1 and path.name in log_lines[0] and "offset" in log_lines[0]
     assert path.read_bytes() == data
     verified = command("capture", "verify", str(tmp_path))
     assert verified.returncode == 1 and "damaged" in verified.stdout
 
 
-def test_a_segment_being_written_is_left_alone(tmp_path: Path) -> None:
+def test_a_segment_being_written_is_not_processed(tmp_path: Path) -> None:
     write(tmp_path, calls(600), segment_bytes=2_000, block_records=50)
     paths = files(tmp_path)
     with paths[-1].open("rb") as file:
         fcntl.flock(file, fcntl.LOCK_EX)
         assert is_open(paths[-1]) and not is_open(paths[0])
-        tended(tmp_path)
+        run_maintenance(tmp_path)
         with Store(tmp_path) as store:
             assert store.index_of(paths[-1]) is None and store.index_of(paths[0]) is not None
-    assert delete_over_budget(tmp_path, 0) == [path.name for path in paths]  # the lock is gone: so may they all be
+    assert delete_over_budget(tmp_path, 0) == [path.name for path in paths]  # without the lock all may be deleted
 
 
-def test_one_tender_a_folder(tmp_path: Path) -> None:
+def test_only_one_process_maintains_a_folder(tmp_path: Path) -> None:
     write(tmp_path, calls(50))
     one = MaintenanceRunner(tmp_path, budget_bytes=1 << 40, log=print)
     one.run_once()
@@ -117,46 +119,46 @@
     two.stop()
 
 
-def test_who_goes_for_the_budget() -> None:
-    held = [
+def test_segments_are_deleted_oldest_first_up_to_the_budget() -> None:
+    segment_files = [
         SegmentFile("b", 10, 2),
         SegmentFile("a", 10, 1, kept=True),
         SegmentFile("c", 10, 3),
         SegmentFile("d", 10, 4, open=True),
     ]
     assert (
-        segments_to_delete(held, 40) == []
-        and segments_to_delete(held, 39) == ["b"]
-        and segments_to_delete(held, 20) == ["b", "c"]
+        segments_to_delete(segment_files, 40) == []
+        and segments_to_delete(segment_files, 39) == ["b"]
+        and segments_to_delete(segment_files, 20) == ["b", "c"]
     )
-    assert segments_to_delete(held, 0) == ["b", "c"] and segments_to_delete([], 0) == []
+    assert segments_to_delete(segment_files, 0) == ["b", "c"] and segments_to_delete([], 0) == []
 
 
-def test_after_retention_what_is_left_is_replayed_from_its_state(tmp_path: Path) -> None:
-    made = calls(3_000)
-    write(tmp_path, made, segment_bytes=8_000, block_records=50)
-    tended(tmp_path, states_every=300)
+def test_after_retention_the_remaining_segments_replay_from_a_snapshot(tmp_path: Path) -> None:
+    recorded = calls(3_000)
+    write(tmp_path, recorded, segment_bytes=8_000, block_records=50)
+    run_maintenance(tmp_path, states_every=300)
     size = sum(path.stat().st_size for path in files(tmp_path))
     with Store(tmp_path) as store:
         kept = files(tmp_path)[1].name
         store.mark_kept(kept, "the weekend")
-    assert "deleted" in tended(tmp_path, states_every=300, budget_bytes=size // 2)[0]
-    left = files(tmp_path)
-    assert kept in [path.name for path in left] and sum(path.stat().st_size for path in left) <= size // 2
-    found = list(seek.since(tmp_path, HistoryReader(left), made[-1].at))
+    assert "deleted" in run_maintenance(tmp_path, states_every=300, budget_bytes=size // 2)[0]
+    remaining = files(tmp_path)
+    assert kept in [path.name for path in remaining] and sum(path.stat().st_size for path in remaining) <= size // 2
+    found = list(seek.since(tmp_path, HistoryReader(remaining), recorded[-1].at))
     assert replay_numbered(found).matches and found[0][0] >= 2_700
 
 
-def test_a_store_that_can_not_be_read_deletes_nothing(tmp_path: Path) -> None:
+def test_an_unreadable_store_prevents_deletion(tmp_path: Path) -> None:
     write(tmp_path, calls(400), segment_bytes=2_000, block_records=50)
     (tmp_path / "store").mkdir(exist_ok=True)
     (tmp_path / "store" / "data.mdb").write_bytes(b"not a store" * 1_000)
     with pytest.raises(CaptureError, match="store"):
         delete_over_budget(tmp_path, 0)
-    writer = write(tmp_path, calls(300), budget_bytes=1)
-    assert writer.written == 301 and len(files(tmp_path)) > 2
-    told = command("capture", "ls", str(tmp_path))
-    assert told.returncode == 2 and "Traceback" not in told.stderr
+    recorder = write(tmp_path, calls(300), budget_bytes=1)
+    assert recorder.written == 301 and len(files(tmp_path)) > 2
+    result = command("capture", "ls", str(tmp_path))
+    assert result.returncode == 2 and "Traceback" not in result.stderr
 
 
 CRASH = """
@@ -167,51 +169,53 @@
 step, folder = int(sys.argv[1]), Path(sys.argv[2])
 count = 0
 
-def watched(kind, real):
-    def call(*arguments, **more):
+def count_calls(kind, real):
+    def call(*arguments, **options):
         global count
         count += 1
         if count == step:
             os._exit(9)
-        return real(*arguments, **more)
+        return real(*arguments, **options)
     return call
 
-os.rename = watched("rename", os.rename)
-os.fsync = watched("fsync", os.fsync)
-maintenance.segment.encode_block = watched("pack", maintenance.segment.encode_block)
+os.rename = count_calls("rename", os.rename)
+os.fsync = count_calls("fsync", os.fsync)
+maintenance.segment.encode_block = count_calls("pack", maintenance.segment.encode_block)
 for name in ("put_index", "put_state", "put_progress", "delete_segments"):
-    setattr(maintenance.Store, name, watched(name, getattr(maintenance.Store, name)))
+    setattr(maintenance.Store, name, count_calls(name, getattr(maintenance.Store, name)))
 maintenance.SETTLE_SECONDS = 0.0
-tender = MaintenanceRunner(folder, budget_bytes=int(sys.argv[3]), log=print, states_every=200)
-tender.run_once()
-tender.stop()
+maintenance_runner = MaintenanceRunner(folder, budget_bytes=int(sys.argv[3]), log=print, states_every=200)
+maintenance_runner.run_once()
+maintenance_runner.stop()
 print("done", count)
 """
 
 
-def test_killed_at_every_step_tending_leaves_every_record_and_goes_on(tmp_path: Path) -> None:
-    made = calls(500)
+def test_maintenance_killed_at_any_step_keeps_every_record_and_can_continue(tmp_path: Path) -> None:
+    recorded = calls(500)
     steps = 0
     for step in range(1, 200):
         folder = tmp_path / str(step)
-        write(folder, made, segment_bytes=6_000, block_records=50)
+        write(folder, recorded, segment_bytes=6_000, block_records=50)
         done = subprocess.run([sys.executable, "-c", CRASH, str(step), str(folder), str(1 << 40)],
                               capture_output=True, text=True)  # fmt: skip
         reading = HistoryReader(files(folder))
-        assert list(reading) == numbered(made) and not reading.damage, f"killed at step {step}"
+        assert list(reading) == numbered(recorded) and not reading.damage, f"killed at step {step}"
         steps = step
         if done.returncode == 0:
             break
         assert done.returncode == 9, done.stderr
         if step % 4 == 0:
-            assert tended(folder, states_every=200) == [] and not list(folder.glob("*.packing"))
+            assert run_maintenance(folder, states_every=200) == [] and not list(folder.glob("*.packing"))
     assert 12 <= steps < 199 and os.listdir(tmp_path)
 
 
-def test_a_live_nodes_folder_is_tended_while_it_serves(tmp_path: Path) -> None:
+def test_a_live_nodes_folder_is_maintained_while_it_serves(tmp_path: Path) -> None:
     settings = {"capture": {"dir": str(tmp_path), "flush_ms": 10, "segment_bytes": 4_096}}
-    tender = MaintenanceRunner(tmp_path, budget_bytes=1 << 40, log=print, states_every=100, scan_interval=0.05)
-    tender.start()
+    maintenance_runner = MaintenanceRunner(
+        tmp_path, budget_bytes=1 << 40, log=print, states_every=100, scan_interval=0.05
+    )
+    maintenance_runner.start()
     with harness(2, 2, settings=settings) as node:
         client = Client(node.port)
         for n in range(120):
@@ -219,8 +223,8 @@
         client.close()
         paths = files(tmp_path)
         assert len(paths) > 2
-        assert wait_for(lambda: all(tender.store.index_of(path) is not None for path in paths[:-1]), 15.0)
-    tender.stop()
+        assert wait_for(lambda: all(maintenance_runner.store.index_of(path) is not None for path in paths[:-1]), 15.0)
+    maintenance_runner.stop()
     result = replay_numbered(HistoryReader(files(tmp_path)))
     assert result.matches and result.calls > 400 and not result.missing
     assert {segment.MAGIC} == {path.read_bytes()[: len(segment.MAGIC)] for path in files(tmp_path)}
--- a/tests/test_cases.py
+++ b/tests/test_cases.py
@@ -1,4 +1,4 @@
-"""Cases: faults that were fixed stay fixed; and captures without names."""
+"""Cases keep fixed faults fixed; redacted captures contain no names."""
 
 from __future__ import annotations
 
@@ -26,37 +26,37 @@
 
 @pytest.mark.parametrize("path", CASES, ids=lambda p: p.stem)
 def test_a_fixed_fault_stays_fixed(path: Path) -> None:
-    made = case.decode(path.read_bytes())
-    assert case.encode(made) == path.read_bytes()
-    assert made.faulty_actions != made.fixed_actions and made.fixed_by and made.title and made.found
-    assert case.is_possible(made.events, [*made.earlier_actions, made.faulty_actions])
-    ran = case.run_case(made, Router)
-    assert ran.verdict == "fixed", f"{made.title}: {ran.last_actions}"
-    assert case.run_case(made, Router) == ran
+    recorded = case.decode(path.read_bytes())
+    assert case.encode(recorded) == path.read_bytes()
+    assert recorded.faulty_actions != recorded.fixed_actions and recorded.fixed_by and recorded.title and recorded.found
+    assert case.is_possible(recorded.events, [*recorded.earlier_actions, recorded.faulty_actions])
+    result = case.run_case(recorded, Router)
+    assert result.verdict == "fixed", f"{recorded.title}: {result.last_actions}"
+    assert case.run_case(recorded, Router) == result
 
 
 def test_there_are_cases_of_five_different_fixes() -> None:
     assert len({case.decode(path.read_bytes()).fixed_by for path in CASES}) >= 5
 
 
-def test_a_case_catches_its_fault_in_the_present_module() -> None:
-    """Each fix is removed from the present logic.py, and its case reports the fault."""
+def test_a_case_detects_its_fault_in_the_current_module() -> None:
+    """Removes each fix from the current logic.py; its case reports the fault."""
     removed = {
         "moving-queue": ("if progresses or not (", "if not ("),
         "cold-unused": ("return [s for s in eligible if s.slow_start_until > self.now] or eligible", "return eligible"),
         "late-answers": ("request.expected_share > admitted and", "False and"),
     }
-    for name, (line, without) in removed.items():
-        assert line in LOGIC
-        module = revision.from_texts(name, LOGIC.replace(line, without), API)
-        made = case.decode((Path(__file__).parent / "cases" / f"{name}.case").read_bytes())
-        assert case.run_case(made, module.make).verdict != "fixed", name
-        assert case.run_case(made, revision.from_texts("whole", LOGIC, API).make).verdict == "fixed"
+    for name, (source, mutated) in removed.items():
+        assert source in LOGIC
+        module = revision.from_texts(name, LOGIC.replace(source, mutated), API)
+        recorded = case.decode((Path(__file__).parent / "cases" / f"{name}.case").read_bytes())
+        assert case.run_case(recorded, module.make).verdict != "fixed", name
+        assert case.run_case(recorded, revision.from_texts("whole", LOGIC, API).make).verdict == "fixed"
 
 
-def test_a_case_is_cut_from_a_capture_to_what_is_needed(tmp_path: Path) -> None:
-    made = calls(500)
-    write(tmp_path, made)
+def test_a_case_is_cut_from_a_capture_and_minimized(tmp_path: Path) -> None:
+    recorded = calls(500)
+    write(tmp_path, recorded)
     folder = tmp_path / "module"
     folder.mkdir()
     (folder / "api.py").write_text(API)
@@ -81,7 +81,7 @@
     assert alike.returncode == 2 and "alike" in alike.stderr
 
 
-def test_removing_parts_keeps_what_is_needed_and_nothing_else() -> None:
+def test_minimize_keeps_exactly_the_needed_parts() -> None:
     tried: list[list[int]] = []
 
     def holds(parts: list[int]) -> bool:
@@ -93,15 +93,15 @@
 
 
 def test_an_impossible_history_is_distinguished_from_a_possible_one() -> None:
-    made = calls(200)
-    events = [(call.at, call.event) for call in made]
-    decided = [call.actions for call in made]
+    recorded = calls(200)
+    events = [(call.at, call.event) for call in recorded]
+    decided = [call.actions for call in recorded]
     assert case.is_possible(events, decided)
     ends = [n for n, (_, event) in enumerate(events) if isinstance(event, api.AttemptEnded)]
     sent = [n for n, actions in enumerate(decided) if any(isinstance(a, api.Send) for a in actions)]
-    for gone in (sent[0], sent[3]):
-        shorter = [each for n, each in enumerate(events) if n != gone]
-        assert not case.is_possible(shorter, [each for n, each in enumerate(decided) if n != gone])
+    for omitted in (sent[0], sent[3]):
+        shorter = [each for n, each in enumerate(events) if n != omitted]
+        assert not case.is_possible(shorter, [each for n, each in enumerate(decided) if n != omitted])
     at, event = events[ends[0]]
     assert isinstance(event, api.AttemptEnded)
     for wrong in (replace(event, server="r9"), replace(event, attempt=7)):
@@ -114,15 +114,15 @@
         case.decode(data)
 
 
-# Captures without names.
+# Redacted captures.
 
 
-def test_a_capture_without_names_decides_as_before(tmp_path: Path) -> None:
-    made = calls(600)
+def test_a_redacted_capture_replays_to_the_same_decisions(tmp_path: Path) -> None:
+    recorded = calls(600)
     header = Header("v", "i0.1", 1, replace(HEADER.settings, tenants=(api.Tenant("Suva Charging", 5.0),)))
     router = Router(header.settings, 1)
     records: list[Record] = [header]
-    for n, call in enumerate(made):
+    for n, call in enumerate(recorded):
         if n == 300:
             records.append(State(call.at, "v", snapshot.take(router)))
         records.append(Call(call.at, call.event, tuple(router.handle(call.at, call.event))))
@@ -134,9 +134,9 @@
     assert list(redact.redact(records, b"other")) != changed
 
 
-def test_an_exported_capture_holds_none_of_its_names(tmp_path: Path) -> None:
-    made = calls(600)
-    write(tmp_path / "in", made)
+def test_a_renamed_capture_contains_none_of_the_original_names(tmp_path: Path) -> None:
+    recorded = calls(600)
+    write(tmp_path / "in", recorded)
     done = command("capture", "redact", str(tmp_path / "in"), str(tmp_path / "out"), "--rename", "--key", "secret")
     assert done.returncode == 0 and "600 calls replay the same" in done.stdout, done.stderr
     records = list(iter_records(files(tmp_path / "out"), []))
@@ -151,15 +151,17 @@
 
 
 def test_records_are_exported_as_lines_of_json(tmp_path: Path) -> None:
-    made = calls(300)
-    write(tmp_path, made)
-    done = command("capture", "export", str(tmp_path), "--since", str(made[100].at), "--until", str(made[200].at))
+    recorded = calls(300)
+    write(tmp_path, recorded)
+    done = command(
+        "capture", "export", str(tmp_path), "--since", str(recorded[100].at), "--until", str(recorded[200].at)
+    )
     rows = [json.loads(line) for line in done.stdout.splitlines()]
-    assert [row["number"] for row in rows if row["at"] == made[150].at][-1] >= 151 and 95 < len(rows) < 110
+    assert [row["number"] for row in rows if row["at"] == recorded[150].at][-1] >= 151 and 95 < len(rows) < 110
     assert {row["router"] for row in rows} == {"i0.1"} and rows[0]["event"]["type"]
 
 
-def test_sessions_and_shared_prefixes_are_hashed_with_a_key_that_nodes_share() -> None:
+def test_sessions_and_shared_prefixes_are_hashed_with_the_key_shared_by_nodes() -> None:
     one = parse(json.dumps(raw_settings("http://127.0.0.1:1/")))
     same = parse(json.dumps(raw_settings("http://127.0.0.1:2/")))
     other = parse(json.dumps(raw_settings("http://127.0.0.1:1/", hash_key="secret")))
@@ -167,13 +169,13 @@
     names = [session_of(("bob",), 0, hash_key(each)) for each in (one, same, other)]
     assert names[0] == names[1] != names[2]
     messages = [{"role": "system", "content": "You are brief."}, {"role": "user", "content": "Hi"}]
-    begun = [
+    prefixes = [
         describe_prompt(messages, None, "m", ByteEstimator(), hash_key(each)).shared_prefix for each in (one, other)
     ]
-    assert begun[0] != begun[1] and None not in begun
+    assert prefixes[0] != prefixes[1] and None not in prefixes
 
 
-def test_a_live_capture_holds_no_text_no_session_and_no_tenants_name(tmp_path: Path) -> None:
+def test_a_live_capture_contains_no_prompt_session_or_tenant_name(tmp_path: Path) -> None:
     settings = {"capture": {"dir": str(tmp_path), "flush_ms": 10}, "tenants": [{"name": "Suva Charging"}]}
     with harness(1, 1, settings=settings) as node:
         client = Client(node.port)
@@ -191,10 +193,10 @@
 
 @pytest.mark.parametrize("path", CASES, ids=lambda p: p.stem)
 def test_the_revision_before_each_fix_has_the_fault(path: Path) -> None:
-    made = case.decode(path.read_bytes())
+    recorded = case.decode(path.read_bytes())
     try:
-        old, new = (revision.load(name) for name in (f"{made.fixed_by}^", made.fixed_by))
+        old, new = (revision.load(name) for name in (f"{recorded.fixed_by}^", recorded.fixed_by))
     except CaptureError:
         pytest.skip("a checkout without the project's history")
-    assert case.run_case(made, old.make) == case.CaseResult(None, made.faulty_actions, "broken again")
-    assert case.run_case(made, new.make) == case.CaseResult(None, made.fixed_actions, "fixed")
+    assert case.run_case(recorded, old.make) == case.CaseResult(None, recorded.faulty_actions, "broken again")
+    assert case.run_case(recorded, new.make) == case.CaseResult(None, recorded.fixed_actions, "fixed")
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,5 +1,5 @@
-"""The recorder's protocol, explored: every interleaving of calls, operations, failures, kills and losses of power
-within small bounds; and the real recorder killed at random moments."""
+"""The journal of the recorder, explored exhaustively: every interleaving of calls, operations, failures, kills and
+power losses within small bounds; and the real recorder killed at random times."""
 
 from __future__ import annotations
 
@@ -26,80 +26,80 @@
 
 @dataclass
 class Disk:
-    """Files as a process sees them, and how much of each a loss of power leaves at least."""
+    """Files as a process sees them, and the size of each that survives a power loss at least."""
 
     files: dict[str, bytearray] = field(default_factory=dict)
     durable: dict[str, int] = field(default_factory=dict)
     open: str = ""
 
-    def do(self, op: Op, part: bool | None = None) -> None:
-        """Carry an operation out; ``part``: it fails, having written a part or nothing."""
+    def execute(self, op: Op, partial: bool | None = None) -> None:
+        """Execute an operation; unless ``partial`` is None it fails after writing a part (True) or nothing (False)."""
         match op:
             case Open(name):
-                assert name not in self.files, "a segment's name came twice"
-                if part is None:
+                assert name not in self.files, "a segment's name is repeated"
+                if partial is None:
                     self.files[name], self.open = bytearray(), name
             case Append(data):
-                self.files[self.open] += data if part is None else data[: len(data) // 2 if part else 0]
+                self.files[self.open] += data if partial is None else data[: len(data) // 2 if partial else 0]
             case Sync():
-                if part is None:
+                if partial is None:
                     self.durable[self.open] = len(self.files[self.open])
             case Close():
                 self.open = ""
 
     def after_power_loss(self, share: float) -> dict[str, bytes]:
-        """What is left where so much of what was not durable had reached the disk."""
-        left: dict[str, bytes] = {}
+        """The files after a power loss, if ``share`` of the data that was not durable had reached the disk."""
+        remaining: dict[str, bytes] = {}
         for name, data in self.files.items():
-            sure = self.durable.get(name, 0)
-            if sure or share:
-                left[name] = bytes(data[: sure + int((len(data) - sure) * share)])
-        return left
+            durable_size = self.durable.get(name, 0)
+            if durable_size or share:
+                remaining[name] = bytes(data[: durable_size + int((len(data) - durable_size) * share)])
+        return remaining
 
 
 @cache
-def in_file(data: bytes) -> list[tuple[int, list[codec.Record]]]:
-    """A file's whole blocks by the number of their first record; the same files come in many histories."""
+def decoded_blocks(data: bytes) -> list[tuple[int, list[codec.Record]]]:
+    """A file's intact blocks by the number of their first record; cached, since many histories have the same files."""
     blocks, _ = segment.scan_blocks(data)
     return [(b.first, [codec.decode(raw) for raw in segment.decode_block(data, b)]) for b in blocks]
 
 
-def found(files: dict[str, bytes], holes: bool = False) -> list[tuple[int, codec.Record]]:
-    """What a reader makes of some files; the real reader's rules on bytes.  ``holes``: a loss of power may have made
-    some, where a sync had failed."""
+def read_files(files: dict[str, bytes], allow_gaps: bool = False) -> list[tuple[int, codec.Record]]:
+    """The records of some files, by the reader's rules.  ``allow_gaps``: a power loss after a failed sync may have
+    caused gaps in the numbers."""
     records: list[tuple[int, codec.Record]] = []
     expected: int | None = None
     for _, data in sorted(files.items()):
-        for first, inside in in_file(data):
+        for first, block_records in decoded_blocks(data):
             step = 0 if expected is None else first - expected
-            assert step >= 0 and (holes or not step), "a number came twice, or is missing"
-            expected = first + len(inside)
-            records += [(first + n, record) for n, record in enumerate(inside)]
+            assert step >= 0 and (allow_gaps or not step), "a number is repeated or missing"
+            expected = first + len(block_records)
+            records += [(first + n, record) for n, record in enumerate(block_records)]
     return records
 
 
-class Explored:
-    """The recorder's loop around a journal, one operation a step, on a model disk."""
+class JournalRun:
+    """The recorder's loop around a journal, one operation per step, on a model disk."""
 
-    def __init__(self, journal: Callable[[], Journal], notes: int, most: int, block: int) -> None:
+    def __init__(self, journal: Callable[[], Journal], call_count: int, max_queued: int, block: int) -> None:
         self.journal, self.disk = journal(), Disk()
-        self.notes, self.most, self.block = notes, most, block
+        self.call_count, self.max_queued, self.block = call_count, max_queued, block
         self.queue: list[int] = []
-        self.told = 0
-        self.lost = 0  # not told yet
+        self.recorded = 0
+        self.lost = 0  # not in a gap record yet
         self.ops: Iterator[Op] = iter(())
         self.next: Op | None = None
         self.clock = 0
 
-    def note(self) -> None:
-        if self.lost or len(self.queue) >= self.most:
+    def record_call(self) -> None:
+        if self.lost or len(self.queue) >= self.max_queued:
             self.lost += 1
         else:
-            self.queue.append(self.told)
-        self.told += 1
+            self.queue.append(self.recorded)
+        self.recorded += 1
 
-    def wants(self) -> bool:
-        """Whether an operation is to be carried out."""
+    def has_operation(self) -> bool:
+        """Whether an operation is pending."""
         if self.next is None:
             self.next = next(self.ops, None)
         if self.next is None and (self.queue or self.lost):
@@ -113,62 +113,64 @@
             self.next = next(self.ops, None)
         return self.next is not None
 
-    def step(self, part: bool | None) -> None:
+    def step(self, partial: bool | None) -> None:
         assert self.next is not None
         op, self.next = self.next, None
-        self.disk.do(op, part)
-        if part is not None:
+        self.disk.execute(op, partial)
+        if partial is not None:
             lost, unwritten_gap = self.journal.operation_failed()
             self.lost += lost + unwritten_gap + len(self.queue)
             self.queue.clear()
             self.ops = iter(())
-            self.disk.do(Close())
+            self.disk.execute(Close())
 
     def check(self, power: bool = True) -> None:
-        """What holds if the process is killed now, or the power goes."""
+        """The properties that hold if the process is killed now, or the power fails."""
         files = {name: bytes(data) for name, data in self.disk.files.items()}
-        self.consistent(found(files))
+        self.check_records(read_files(files))
         for share in (0.0, 0.6, 1.0) if power else ():
-            left = found(self.disk.after_power_loss(share), holes=True)
-            there = {number for number, _ in left}
-            assert there >= set(range(self.journal.durable)), "what was durable is not there"
-            self.consistent(left)
-
-    def consistent(self, records: list[tuple[int, codec.Record]]) -> None:
-        """A beginning of what was told, each hole counted exactly."""
-        at = following = 0
-        unsure = False  # a hole told by the numbers alone: how many calls were in it is known at the next call
+            remaining = read_files(self.disk.after_power_loss(share), allow_gaps=True)
+            present = {number for number, _ in remaining}
+            assert present >= set(range(self.journal.durable)), "a durable record is missing"
+            self.check_records(remaining)
+
+    def check_records(self, records: list[tuple[int, codec.Record]]) -> None:
+        """The records are a prefix of the recorded calls, with each gap counted exactly."""
+        at = next_number = 0
+        gap_size_unknown = False  # a gap in the numbers alone: the next call shows how many calls it holds
         for number, record in records:
             assert isinstance(record, Header) == (number == 0)
-            unsure = unsure or number != following
-            following = number + 1
-            if unsure and isinstance(record, Call):
+            gap_size_unknown = gap_size_unknown or number != next_number
+            next_number = number + 1
+            if gap_size_unknown and isinstance(record, Call):
                 assert record.at >= at
-                at, unsure = record.at, False
+                at, gap_size_unknown = record.at, False
             if isinstance(record, Call):
-                assert record == CALLS[at], f"call {record.at} stands where {at} was to come"
+                assert record == CALLS[at], f"call {record.at} was found where {at} was expected"
                 at += 1
             elif isinstance(record, Gap):
                 at += record.count
-        assert at <= self.told, "more is said to be missing than was told"
+        assert at <= self.recorded, "more calls are counted as missing than were recorded"
 
 
-def explore(journal: Callable[[], Journal], notes: int, faults: int, *, most: int = 2, block: int = 2) -> int:
-    """Every order of calls, operations and so many failures; how many histories there were.
+def explore(
+    journal: Callable[[], Journal], call_count: int, faults: int, *, max_queued: int = 2, block: int = 2
+) -> int:
+    """Explore every order of calls, operations and up to ``faults`` failures.  Returns the number of histories.
 
-    Stateless: each history is run again from its choices, the first untried one taken next.
+    Stateless: each history runs again from its list of choices, then takes the first untried one.
     """
     histories = 0
     stack: list[tuple[int, ...]] = [()]
     while stack:
         prefix = stack.pop()
-        run = Explored(journal, notes, most, block)
+        run = JournalRun(journal, call_count, max_queued, block)
         failed = 0
         choices: list[int] = []
         while True:
-            wants = run.wants()
-            allowed = ["note"] * (run.told < notes) + ["do"] * wants
-            if wants and failed < faults:
+            has_operation = run.has_operation()
+            allowed = ["note"] * (run.recorded < call_count) + ["do"] * has_operation
+            if has_operation and failed < faults:
                 allowed += ["fail", *(["part"] if isinstance(run.next, Append) else [])]
             if not allowed:
                 break
@@ -180,7 +182,7 @@
             choices.append(choice)
             what = allowed[choice]
             if what == "note":
-                run.note()
+                run.record_call()
             else:
                 failed += what != "do"
                 run.step(None if what == "do" else what == "part")
@@ -188,32 +190,32 @@
                     run.check()
         histories += 1
         run.check(power=False)
-        records = found({name: bytes(data) for name, data in run.disk.files.items()})
+        records = read_files({name: bytes(data) for name, data in run.disk.files.items()})
         calls = sum(isinstance(r, Call) for _, r in records)
         gaps = sum(r.count for _, r in records if isinstance(r, Gap))
-        assert calls + gaps == notes, f"{calls} found and {gaps} said to be missing of {notes}"
+        assert calls + gaps == call_count, f"{calls} found and {gaps} counted as missing of {call_count}"
     return histories
 
 
-def plain(segment_bytes: int = 400) -> Callable[[], Journal]:
+def journal_factory(segment_bytes: int = 400) -> Callable[[], Journal]:
     return lambda: Journal(HEADER, SegmentLimits(segment_bytes, 100))
 
 
-def test_every_interleaving_keeps_what_is_durable_and_counts_what_is_lost() -> None:
-    assert explore(plain(), 3, 1) > 500
-    assert explore(plain(segment_bytes=1), 2, 2) > 500
-    assert explore(plain(), 4, 0, most=1, block=1) > 50
+def test_every_interleaving_keeps_durable_records_and_counts_lost_calls() -> None:
+    assert explore(journal_factory(), 3, 1) > 500
+    assert explore(journal_factory(segment_bytes=1), 2, 2) > 500
+    assert explore(journal_factory(), 4, 0, max_queued=1, block=1) > 50
 
 
 class ForgetsGap(Journal):
-    """A journal that does not count again a gap that could not be written."""
+    """A faulty journal that does not count again a gap that could not be written."""
 
     def operation_failed(self) -> tuple[int, int]:
         return super().operation_failed()[0], 0
 
 
 class EarlyNumber(Journal):
-    """A journal that counts records before they are written."""
+    """A faulty journal that numbers records before they are written."""
 
     def _append(self, records, is_header=False):  # type: ignore[no-untyped-def]
         first, self.next_number = self.next_number, self.next_number + len(records)
@@ -225,7 +227,7 @@
 
 
 class EarlyDurable(Journal):
-    """A journal that says durable before it is."""
+    """A faulty journal that reports records as durable before the sync."""
 
     def _append(self, records, is_header=False):  # type: ignore[no-untyped-def]
         for op in super()._append(records, is_header):
@@ -234,22 +236,22 @@
             yield op
 
 
-class LateHand(Journal):
-    """A journal that counts as lost what was written but not synced."""
+class CountsUnsyncedAsLost(Journal):
+    """A faulty journal that counts records as lost that were written but not synced."""
 
     def _append(self, records, is_header=False):  # type: ignore[no-untyped-def]
-        hand = self.unwritten_calls
+        unwritten = self.unwritten_calls
         for op in super()._append(records, is_header):
             if isinstance(op, Sync):
-                self.unwritten_calls = hand
+                self.unwritten_calls = unwritten
             yield op
         if not is_header:
             self.unwritten_calls = 0
 
 
-@pytest.mark.parametrize("broken", [ForgetsGap, EarlyNumber, EarlyDurable, LateHand])
-def test_the_exploration_catches_a_journal_that_is_wrong(broken: type[Journal]) -> None:
-    with pytest.raises(AssertionError, match="said to be missing|missing|durable|stands where"):
+@pytest.mark.parametrize("broken", [ForgetsGap, EarlyNumber, EarlyDurable, CountsUnsyncedAsLost])
+def test_the_exploration_detects_a_faulty_journal(broken: type[Journal]) -> None:
+    with pytest.raises(AssertionError, match="counted as missing|missing|durable|was expected"):
         explore(lambda: broken(HEADER, SegmentLimits(400, 100)), 3, 2)
 
 
@@ -274,29 +276,29 @@
         time.sleep(delay)
         os.kill(pid, 9)
         os.waitpid(pid, 0)
-        said = b""
+        output = b""
         while data := os.read(read, 1 << 16):
-            said += data
+            output += data
         os.close(read)
-        print(said.split()[-1].decode() if said.split() else "0", flush=True)
+        print(output.split()[-1].decode() if output.split() else "0", flush=True)
         continue
     header = Header("test", f"k{index}.1", 1, SETTINGS)
     recorder = Recorder(folder, header, time.time_ns, log=lambda text: None, flush_interval=0.002, block_records=20,
                         segment_bytes=3000, segment_seconds=0.01, budget_bytes=1 << 30)
     recorder.start()
-    n = told = 0
+    n = recorded = 0
     while True:
         for _ in range(7):
             recorder.record(n + 1, api.TimerFired(n), (api.SetTimer(n, 5),))
             n += 1
-        if recorder.durable > told:
-            told = recorder.durable
-            os.write(write, f"{told}\\n".encode())
+        if recorder.durable > recorded:
+            recorded = recorder.durable
+            os.write(write, f"{recorded}\\n".encode())
         time.sleep(0.0005)
 """
 
 
-def test_a_recorder_killed_at_200_moments_loses_nothing_that_was_durable(tmp_path: Path) -> None:
+def test_a_recorder_killed_200_times_loses_no_durable_record(tmp_path: Path) -> None:
     draw = random.Random(9)
     root = str(Path(__file__).parent.parent)
     child = subprocess.Popen([sys.executable, "-c", CHILD, str(tmp_path), "200"], stdin=subprocess.PIPE,
@@ -314,29 +316,29 @@
         child.kill()
         child.stdin.close()
         child.stdout.close()
-    rooms = segments_by_router(tmp_path)
+    segments = segments_by_router(tmp_path)
     records = torn = 0
-    for index, sure in enumerate(durable):
-        files = rooms.get(f"k{index}.1", [])
+    for index, durable_size in enumerate(durable):
+        files = segments.get(f"k{index}.1", [])
         reading = HistoryReader(files)
         numbers = []
         for number, record in reading:
             numbers.append(number)
             assert not isinstance(record, Call) or record.event == api.TimerFired(number - 1)
             assert not isinstance(record, Gap)
-        assert numbers == list(range(len(numbers))) and len(numbers) >= sure
+        assert numbers == list(range(len(numbers))) and len(numbers) >= durable_size
         assert len(reading.damage) == reading.torn_tails <= 1
         records += len(numbers)
         torn += reading.torn_tails
-    assert max(durable) > 50 and records > 2_000 and sum(len(files) > 1 for files in rooms.values()) > 10
+    assert max(durable) > 50 and records > 2_000 and sum(len(files) > 1 for files in segments.values()) > 10
 
 
-def test_a_restart_in_the_same_nanosecond_or_after_a_step_back_begins_a_segment_of_its_own() -> None:
+def test_a_new_segment_at_the_same_or_an_earlier_time_has_its_own_name() -> None:
     clocks = iter([100, 100, 50, 50])
     disk = Disk()
     journal = Journal(HEADER, SegmentLimits(1, 1 << 60))
     for n in range(4):
         for op in journal.write(next(clocks), [codec.encode(CALLS[n])]):
-            disk.do(op)
+            disk.execute(op)
     assert [int(name[5:25]) for name in sorted(disk.files)] == [100, 101, 102, 103]
-    assert [r for _, r in found({n: bytes(d) for n, d in disk.files.items()})] == [HEADER, *CALLS[:4]]
+    assert [r for _, r in read_files({n: bytes(d) for n, d in disk.files.items()})] == [HEADER, *CALLS[:4]]
