--- a/stonetrack/capture/store.py
+++ b/stonetrack/capture/store.py
@@ -142,9 +142,9 @@
         status = path.stat()
         return found if (found.size, found.mtime_ns) == (status.st_size, status.st_mtime_ns) else None
 
-    def put_index(self, name: str, made: Index) -> None:
+    def put_index(self, name: str, index: Index) -> None:
         """Store a segment's index."""
-        self._put([(b"segments", name, made.to_bytes())])
+        self._put([(b"segments", name, index.to_bytes())])
 
     def delete_segments(self, names: list[str], router: str = "", before: int = 0) -> None:
         """Remove the indexes of deleted segments, and the router's snapshots except the last one before the remaining
@@ -174,8 +174,8 @@
         """The last snapshot at or before a record."""
         start = f"{router}/{number:020d}".encode()
         with self._env.begin() as transaction, transaction.cursor(db=self._table[b"states"]) as cursor:
-            there = cursor.set_range(start)
-            if not (there and cursor.key() == start) and not (cursor.prev() if there else cursor.last()):
+            key_found = cursor.set_range(start)
+            if not (key_found and cursor.key() == start) and not (cursor.prev() if key_found else cursor.last()):
                 return None
             name, _, found = bytes(cursor.key()).decode().rpartition("/")
             if name != router:
@@ -190,7 +190,7 @@
         self._put([(b"marks", name, why.encode())])
 
     def unmark_kept(self, name: str) -> bool:
-        """Remove a mark.  Returns whether there was one."""
+        """Remove a mark.  Returns whether key_found was one."""
         was_marked = self._get(b"marks", name) is not None
         self._put([(b"marks", name, None)])
         return was_marked
