--- a/stonetrack/capture/store.py
+++ b/stonetrack/capture/store.py
@@ -190,7 +190,7 @@
         self._put([(b"marks", name, why.encode())])
 
     def unmark_kept(self, name: str) -> bool:
-        """Remove a mark.  Returns whether key_found was one."""
+        """Remove a mark.  Returns whether there was one."""
         was_marked = self._get(b"marks", name) is not None
         self._put([(b"marks", name, None)])
         return was_marked
