--- a/stonetrack/capture/journal.py
+++ b/stonetrack/capture/journal.py
@@ -86,8 +86,8 @@
     """One router's capture.  :meth:`write` and :meth:`write_gap` yield operations; requesting the next one confirms
     that the previous one succeeded.  After a failed operation, drop the iterator and call :meth:`operation_failed`."""
 
-    def __init__(self, header: Header, bounds: SegmentLimits) -> None:
-        self._header, self._bounds = header, bounds
+    def __init__(self, header: Header, limits: SegmentLimits) -> None:
+        self._header, self._limits = header, limits
         self.phase = Phase.CLOSED
         self.next_number = 0  # number of the next record
         self.durable = 0  # records below this number survive a kill
@@ -107,7 +107,7 @@
         if self.phase is not Phase.OPEN:
             yield from self._open(now)
         yield from self._append(records)
-        if self._size >= self._bounds.segment_bytes or now - self._opened_at >= self._bounds.segment_ns:
+        if self._size >= self._limits.segment_bytes or now - self._opened_at >= self._limits.segment_ns:
             yield from self.close()
 
     def write_gap(self, now: int, count: int, state: State | None) -> Iterator[Op]:
@@ -144,7 +144,7 @@
         self.name = f"{self._header.instance}-{self._clock:020d}{SEGMENT_SUFFIX}"
         yield Open(self.name)
         yield Append(segment.MAGIC)
-        if self._bounds.sync:
+        if self._limits.sync:
             yield Sync(directory=True)
         self.phase, self._size, self._opened_at = Phase.OPEN, len(segment.MAGIC), now
         if self.next_number == 0:
@@ -161,7 +161,7 @@
         self.written_records += len(records)
         self._size += len(data)
         self.written_bytes += len(data)
-        if self._bounds.sync:
+        if self._limits.sync:
             yield Sync()
         if not self._after_failed_sync:
             self.durable = self.next_number
