--- a/benchmarks/election.py
+++ b/benchmarks/election.py
@@ -1,4 +1,4 @@
-"""Drawn histories of stewards under faults, judged; hand-over times over lease lengths; register calls over candidates.
+"""Random histories of controllers under faults, checked; hand-over times over lease lengths; store calls over candidates.
 
 .venv/bin/python -m benchmarks.election histories [--count 200] [--side-by-side 3]
 .venv/bin/python -m benchmarks.election handover
@@ -29,7 +29,7 @@
 
 
 def script(draw: random.Random, count: int, lease: float, faults: list[dict[str, Any]], seconds: float) -> str:
-    """A play of stewards; ``seconds`` end quietly so that all work can be done."""
+    """A simulated run of controllers; it ends without faults so that all work can be finished."""
     return json.dumps({
         "name": "drawn stewards", "seconds": seconds, "nodes": 0, "listed": 6, "start_within_ms": 300,
         "lists": {"lists_per_second": 200.0, "waiting": 100.0}, "faults": faults,
@@ -69,19 +69,19 @@
 
 
 def one(seed: int) -> tuple[int, list[str], list[int], float, list[str]]:
-    """One drawn history: what broke, the terms, the longest wait for a new owner's effect, trouble of the rig."""
+    """One random history: violations, terms, how late the links were in ms, and errors of the test harness."""
     draw = random.Random(f"owning/{seed}")
     text = script(draw, 3, 1.0, faults(draw, 1.0, 12.0), 21.0)
     with tempfile.TemporaryDirectory(prefix="owning-") as folder:
         made = play(parse_script(text), seed, Path(folder) / "play")
         log = [json.loads(line) for line in (Path(folder) / "play" / "lists" / LISTS_LOG).read_text().splitlines()]
-    taken = owners.effects(log)
-    broken = [*owners.interleaved(taken), *owners.results(taken, 4, ["nobody-0", "nobody-1"])]
-    return seed, broken, owners.kept_terms(log), made.late / 1e6, [*made.trouble, *made.unclean]
+    effects = owners.effects(log)
+    violations = [*owners.interleaved(effects), *owners.results(effects, 4, ["nobody-0", "nobody-1"])]
+    return seed, violations, owners.kept_terms(log), made.late / 1e6, [*made.trouble, *made.unclean]
 
 
 def takeovers(lease: float, seeds: range) -> Iterator[float]:
-    """Seconds from the owner's kill at an effect to the next owner's first effect, on the links."""
+    """Seconds from the kill of the leader at an effect to the next leader's first effect, on the links."""
     for seed in seeds:
         draw = random.Random(seed)
         kill = {"what": "kill", "to": "@from", "when": {"what": "head", "to": "lists", "method": "PATCH"}}
@@ -97,7 +97,7 @@
 
 @click.group()
 def main() -> None:
-    """See the module."""
+    """Benchmarks of the leader election."""
 
 
 @main.command()
@@ -105,21 +105,21 @@
 @click.option("--first", default=0)
 @click.option("--side-by-side", "side", default=3)
 def histories(count: int, first: int, side: int) -> None:
-    """Drawn histories; each that broke a promise is named by its seed."""
-    began, broke, terms, refused = time.time(), 0, [], 0
+    """Random histories; each that violates a property is listed by its seed."""
+    began, violated, terms, refused = time.time(), 0, [], 0
     with ProcessPoolExecutor(side, mp_context=get_context("spawn")) as pool:
-        for seed, broken, kept, late, trouble in pool.map(one, range(first, first + count)):
+        for seed, violations, kept, late, trouble in pool.map(one, range(first, first + count)):
             terms.append(len(kept))
-            broke += bool(broken)
-            if broken or trouble:
-                click.echo(f"seed {seed}: {broken} terms {kept} links late by {late:.0f} ms {trouble}")
-    click.echo(f"{count} histories, {broke} broke a promise, {refused} void; owners in each: median "
+            violated += bool(violations)
+            if violations or trouble:
+                click.echo(f"seed {seed}: {violations} terms {kept} links late by {late:.0f} ms {trouble}")
+    click.echo(f"{count} histories, {violated} broke a promise, {refused} void; owners in each: median "
                f"{statistics.median(terms):g}, most {max(terms)}; {time.time() - began:.0f} s")  # fmt: skip
 
 
 @main.command()
 def handover() -> None:
-    """Hand-over after a kill, over lease lengths; register calls a minute over candidates."""
+    """Hand-over after a kill, over lease lengths; store calls a minute over candidates."""
     for lease in (0.5, 1.0, 2.0, 4.0):
         took = sorted(takeovers(lease, range(5)))
         click.echo(f"lease {lease:g} s: first effect of the next owner after {statistics.median(took):.2f} s (median), "
@@ -137,13 +137,13 @@
 
 
 def day(seed: int, stewards: bool) -> Played:
-    """Twelve nodes and ten engines under clients, one engine hung for a while; with five stewards under faults, or none.
+    """Twelve nodes and ten engines under load, one engine hung for a while; with five controllers under faults, or none.
 
-    With stewards they publish the list and check the engines; without, the service reads it from a file.
+    Controllers publish the list and check the engines; without them the discovery service reads it from a file.
     """
     draw = random.Random(f"day/{seed}")
     engines = [{"name": f"{r[0]}{n}", "role": r, "cell": n % 2} for r in ("reader", "writer") for n in range(5)]
-    mine: list[dict[str, Any]] = [{"what": "engine_hang", "to": "e:r1", "at": 16.0, "for_s": 4.0}]
+    faults_of_day: list[dict[str, Any]] = [{"what": "engine_hang", "to": "e:r1", "at": 16.0, "for_s": 4.0}]
     text: dict[str, Any] = {
         "name": f"service, stewards {stewards}", "seconds": 40.0, "nodes": 12, "listed": 0, "start_within_ms": 1_000,
         "load_from": 10.0, "lists": {"lists_per_second": 200.0, "waiting": 100.0}, "engines": engines,
@@ -152,33 +152,35 @@
     if stewards:
         text["stewards"] = {"count": 5, "publish": 1, "maintain": 0, "checks_s": 0.5}
         for at in (12.0, 18.0, 24.0, 30.0):
-            mine.append({"what": draw.choice(("stop", "kill")), "to": f"s{draw.randrange(5)}", "at": at, "for_s": 3.0})
-        mine.append({"what": "kill", "to": "register", "at": 27.0, "for_s": 2.0})
+            faults_of_day.append(
+                {"what": draw.choice(("stop", "kill")), "to": f"s{draw.randrange(5)}", "at": at, "for_s": 3.0}
+            )
+        faults_of_day.append({"what": "kill", "to": "register", "at": 27.0, "for_s": 2.0})
     with tempfile.TemporaryDirectory(prefix="owning-") as folder:
-        return play(parse_script(json.dumps({**text, "faults": mine})), seed, Path(folder) / "play")
+        return play(parse_script(json.dumps({**text, "faults": faults_of_day})), seed, Path(folder) / "play")
 
 
 @main.command()
 @click.option("--seeds", default=5)
 def service(seeds: int) -> None:
-    """Service of requests with stewards under faults against the same day without any."""
+    """Share of requests served with controllers under faults, against the same scenario without controllers."""
     pairs = []
     for seed in range(seeds):
         played = [day(seed, stewards) for stewards in (True, False)]
         verdicts = [made.verdict for made in played]
         assert verdicts[0] is not None and verdicts[1] is not None
         pairs.append((verdicts[0].service, verdicts[1].service))
-        broken = [str(b) for verdict in verdicts if verdict is not None for b in verdict.breaches]
+        violations = [str(b) for verdict in verdicts if verdict is not None for b in verdict.breaches]
         late = max(made.late for made in played) / 1e6
         click.echo(f"seed {seed}: service {pairs[-1][0]:.3f} with stewards, {pairs[-1][1]:.3f} without; rules broken "
-                   f"{len(broken)} {broken[:3]}; links late by {late:.0f} ms")  # fmt: skip
+                   f"{len(violations)} {violations[:3]}; links late by {late:.0f} ms")  # fmt: skip
     click.echo(f"median difference {statistics.median(a - b for a, b in pairs):+.3f}")
 
 
 @main.command("explore")
 @click.option("--states", default=3_000_000)
 def all_histories(states: int) -> None:
-    """All histories within larger bounds than the tests', and a shortest one for each protection left out."""
+    """All histories within larger bounds than in the tests, and a shortest one for each omitted protection."""
     small = Bounds(lost_answers=0, restarts=0, max_states=states)
     for name, bounds in (
         ("lease alone, 6 ticks", replace(small, steps=0)),
@@ -194,13 +196,13 @@
         click.echo(
             f"{name}: {found.states} states ({whole}) in {time.time() - began:.0f} s, broken: {found.violation or 'none'}"
         )
-    for less, bounds in (
+    for omitted, bounds in (
         (Omitted.FENCE, small), (Omitted.MARGIN, small), (Omitted.BEFORE, small), (Omitted.SECOND_LOOK, small),
         (Omitted.DURABLE, replace(small, restarts=1)), (Omitted.CLAIM, replace(small, rollbacks=1)),
     ):  # fmt: skip
-        found = explore(bounds, less)
+        found = explore(bounds, omitted)
         click.echo(
-            f"\nwithout {less.name}: {found.states} states, {len(found.history)} steps\n{sequence_diagram(found, bounds.candidates)}"
+            f"\nwithout {omitted.name}: {found.states} states, {len(found.history)} steps\n{sequence_diagram(found, bounds.candidates)}"
         )
 
 
--- a/stonetrack/cas_store/etcd.py
+++ b/stonetrack/cas_store/etcd.py
@@ -1,12 +1,12 @@
-"""etcd as the register, by its published v3 JSON gateway: bodies in and out (:func:`range_request` …), a thin host.
+"""A compare-and-set store in etcd, through its published v3 JSON gateway.
 
     POST /v3/kv/range   {"key": base64}                                       the entry
     POST /v3/kv/txn     compare MOD (or CREATE for none), put, else range     compare-and-set
     POST /v3/watch      {"create_request": {...}}                             a stream of JSON lines
 
-Numbers of 64 bits are strings there, and a field that is zero is left out.  etcd's own leases are not used: a key that
-goes by itself takes the term with it, and what ends a lease early (a new leader) would end ours unseen; ours are in
-the record (``election.lease``).  Several endpoints are tried in turn, a write only while it certainly was not sent.
+The gateway writes 64-bit numbers as strings and omits fields that are zero.  etcd's own leases are not used: a key that
+expires by itself would lose the term, and etcd may end a lease early (a new leader) unnoticed; this project's lease is
+in the record (``election.lease``).  Several endpoints are tried in turn, a write only if it certainly was not sent.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
 
 def b64(data: bytes) -> str:
-    """Bytes as the gateway has them."""
+    """Bytes in the encoding of the gateway."""
     return base64.b64encode(data).decode()
 
 
 class Kv(msgspec.Struct):
-    """One key as the gateway tells it."""
+    """One key in an answer of the gateway."""
 
     key: str = ""
     value: str = ""
@@ -76,85 +76,93 @@
     result: _Watch = msgspec.field(default_factory=_Watch)
 
 
-class _Trouble(msgspec.Struct):
+class _ErrorBody(msgspec.Struct):
     message: str = ""
     error: str = ""
     code: int = 0
 
 
 def range_request(key: str) -> dict[str, Any]:
-    """The body that reads one key, by the leader's word (linearizable is the default)."""
+    """The body of a read of one key (linearizable by default)."""
     return {"key": b64(checked_key(key))}
 
 
 def prefix_request(prefix: str) -> dict[str, Any]:
-    """The body that reads the keys that begin so, without values."""
-    raw = checked_key(prefix)
-    end = raw[:-1] + bytes([raw[-1] + 1])  # a prefix ends in an ASCII character
-    return {"key": b64(raw), "range_end": b64(end), "keys_only": True, "sort_order": "ASCEND", "sort_target": "KEY"}
+    """The body of a read of the keys with this prefix, without values."""
+    key_bytes = checked_key(prefix)
+    end = key_bytes[:-1] + bytes([key_bytes[-1] + 1])  # a prefix ends in an ASCII character
+    return {
+        "key": b64(key_bytes),
+        "range_end": b64(end),
+        "keys_only": True,
+        "sort_order": "ASCEND",
+        "sort_target": "KEY",
+    }
 
 
 def swap_request(key: str, revision: int, value: bytes) -> dict[str, Any]:
-    """The body of a compare-and-set."""
-    raw = b64(checked_key(key, value))
-    found = ({"target": "MOD", "mod_revision": str(revision)} if revision
+    """The body of a compare-and-set transaction."""
+    key_bytes = b64(checked_key(key, value))
+    condition = ({"target": "MOD", "mod_revision": str(revision)} if revision
              else {"target": "CREATE", "create_revision": "0"})  # fmt: skip
     return {
-        "compare": [{"key": raw, "result": "EQUAL", **found}],
-        "success": [{"request_put": {"key": raw, "value": b64(value)}}],
-        "failure": [{"request_range": {"key": raw}}],
+        "compare": [{"key": key_bytes, "result": "EQUAL", **condition}],
+        "success": [{"request_put": {"key": key_bytes, "value": b64(value)}}],
+        "failure": [{"request_range": {"key": key_bytes}}],
     }
 
 
 def entry_of(body: bytes) -> Entry:
-    """The entry that a range answers.  Raises StoreError."""
+    """The entry in the answer to a range request.  Raises StoreError."""
     kvs = _decode(body, _Range).kvs
     return entry(kvs[0]) if kvs else NO_ENTRY
 
 
 def entry(kv: Kv) -> Entry:
-    """An entry.  Raises StoreError."""
+    """Convert a key of the gateway to an entry.  Raises StoreError."""
     try:
         return Entry(base64.b64decode(kv.value, validate=True), int(kv.mod_revision))
     except ValueError as error:
         raise StoreError(f"etcd: a key that can't be read: {error}") from None
 
 
-def _decode(body: bytes, kind: type[T]) -> T:
+def _decode(body: bytes, type_: type[T]) -> T:
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=type_)
     except msgspec.DecodeError as error:
         raise StoreError(f"etcd: {error}") from None
 
 
 class EtcdStore:
-    """The host.  ``endpoints`` are ``host:port``; ``timeout`` is seconds without a byte."""
+    """A client of etcd.  ``endpoints`` are ``host:port``; ``timeout`` is seconds without a byte."""
 
     def __init__(self, endpoints: tuple[str, ...], timeout: float = 1.0) -> None:
-        self._endpoints = [(h, int(p)) for h, _, p in (e.rpartition(":") for e in endpoints)]
+        self._endpoints = [(host, int(port)) for host, _, port in (e.rpartition(":") for e in endpoints)]
         self._timeout = timeout
 
     def read(self, key: str) -> Entry:
         """See ``ports.CasStore``."""
-        return self._any(lambda at: entry_of(self._call(at, "/v3/kv/range", range_request(key))))
+        return self._first_answer(lambda endpoint: entry_of(self._call(endpoint, "/v3/kv/range", range_request(key))))
 
     def keys(self, prefix: str) -> list[str]:
         """See ``ports.CasStore``."""
-        asked = prefix_request(prefix)
-        body = self._any(lambda at: self._call(at, "/v3/kv/range", asked))
+        request = prefix_request(prefix)
+        body = self._first_answer(lambda endpoint: self._call(endpoint, "/v3/kv/range", request))
         return [base64.b64decode(kv.key).decode() for kv in _decode(body, _Range).kvs]
 
     def compare_and_set(self, key: str, revision: int, value: bytes) -> int | None:
         """See ``ports.CasStore``."""
-        asked = swap_request(key, revision, value)
-        told = self._any(lambda at: _decode(self._call(at, "/v3/kv/txn", asked, write=True), _Txn))
-        return int(told.header.revision) if told.succeeded else None
-
-    def _any(self, ask: Callable[[tuple[str, int]], T]) -> T:
-        """The first endpoint's answer; the next one is asked only where nothing can have been written."""
-        for n, at in enumerate(list(self._endpoints)):
+        request = swap_request(key, revision, value)
+        reply = self._first_answer(
+            lambda endpoint: _decode(self._call(endpoint, "/v3/kv/txn", request, write=True), _Txn)
+        )
+        return int(reply.header.revision) if reply.succeeded else None
+
+    def _first_answer(self, send: Callable[[tuple[str, int]], T]) -> T:
+        """The answer of the first endpoint that gives one; the next is tried only if nothing can have been written."""
+        for n, endpoint in enumerate(list(self._endpoints)):
             try:
-                return ask(at)
+                return send(endpoint)
             except UnknownOutcome:
                 raise
             except StoreError:
@@ -163,10 +171,10 @@
                 self._endpoints = [*self._endpoints[1:], self._endpoints[0]]
         raise StoreError("etcd: no endpoint is given")
 
-    def _call(self, at: tuple[str, int], path: str, body: dict[str, Any], write: bool = False) -> bytes:
-        request = writer.request("POST", path, _headers(at), msgspec.json.encode(body))
+    def _call(self, endpoint: tuple[str, int], path: str, body: dict[str, Any], write: bool = False) -> bytes:
+        request = writer.request("POST", path, _headers(endpoint), msgspec.json.encode(body))
         try:
-            status, data = calls.call(*at, request, self._timeout, _LIMITS)
+            status, data = calls.call(*endpoint, request, self._timeout, _LIMITS)
         except CallFailed as error:
             if write and error.outcome is not api.Outcome.CONNECT_FAILED:
                 raise UnknownOutcome(f"etcd: {error}") from None
@@ -174,30 +182,30 @@
         if status == 200:
             return data
         with contextlib.suppress(StoreError):
-            told = _decode(data, _Trouble)
-            data = (told.message or told.error).encode()
-        text = f"etcd at {at[0]}:{at[1]}: {status}: {data[:200].decode('utf-8', 'replace')}"
+            error_body = _decode(data, _ErrorBody)
+            data = (error_body.message or error_body.error).encode()
+        text = f"etcd at {endpoint[0]}:{endpoint[1]}: {status}: {data[:200].decode('utf-8', 'replace')}"
         # A request that timed out within the cluster (no leader, a slow disk) may still be carried out.
         raise UnknownOutcome(text) if write and status >= 500 else StoreError(text)
 
-    def watch(self, key: str, revision: int, seconds: float, tell: Callable[[Entry], bool]) -> None:
+    def watch(self, key: str, revision: int, seconds: float, on_write: Callable[[Entry], bool]) -> None:
         """See ``ports.CasStore``."""
         body = {"create_request": {"key": b64(checked_key(key)), "start_revision": str(revision + 1)}}
-        at = self._endpoints[0]
-        request = writer.request("POST", "/v3/watch", _headers(at), msgspec.json.encode(body))
+        endpoint = self._endpoints[0]
+        request = writer.request("POST", "/v3/watch", _headers(endpoint), msgspec.json.encode(body))
         end = time.monotonic() + seconds
         try:
-            with connect(*at, self._timeout) as sock:
+            with connect(*endpoint, self._timeout) as sock:
                 sock.sendall(request)
-                reader, line = http1.MessageReader(http1.Side.RESPONSES, _LIMITS), bytearray()
-                while (left := end - time.monotonic()) > 0:
-                    sock.settimeout(left)
+                reader, buffer = http1.MessageReader(http1.Side.RESPONSES, _LIMITS), bytearray()
+                while (remaining := end - time.monotonic()) > 0:
+                    sock.settimeout(remaining)
                     data = sock.recv(65_536)
                     for event in reader.feed(data) if data else ():
-                        line += event.data if isinstance(event, http1.Data) else b""
-                    *whole, rest = bytes(line).split(b"\n")
-                    line = bytearray(rest)
-                    if not all(_told(each, tell) for each in whole if each) or not data:
+                        buffer += event.data if isinstance(event, http1.Data) else b""
+                    *lines, rest = bytes(buffer).split(b"\n")
+                    buffer = bytearray(rest)
+                    if not all(_report_writes(line, on_write) for line in lines if line) or not data:
                         return
         except TimeoutError:
             return
@@ -208,14 +216,14 @@
         """See ``ports.CasStore``."""
 
 
-def _told(line: bytes, tell: Callable[[Entry], bool]) -> bool:
-    """Tell of one line of a watch's stream; whether to go on.  Raises StoreError."""
-    said = _decode(line, _Watched).result
-    for event in said.events:
-        if event.type == "DELETE" or not tell(entry(event.kv)):
-            return False  # a key that is gone is for a read to find
-    return not said.canceled
+def _report_writes(line: bytes, on_write: Callable[[Entry], bool]) -> bool:
+    """Report the writes of one line of the watch stream; returns whether to continue.  Raises StoreError."""
+    watch = _decode(line, _Watched).result
+    for event in watch.events:
+        if event.type == "DELETE" or not on_write(entry(event.kv)):
+            return False  # the caller's next read finds that the key is deleted
+    return not watch.canceled
 
 
-def _headers(at: tuple[str, int]) -> list[tuple[str, str]]:
-    return [("Host", f"{at[0]}:{at[1]}"), ("Content-Type", "application/json"), ("Connection", "close")]
+def _headers(endpoint: tuple[str, int]) -> list[tuple[str, str]]:
+    return [("Host", f"{endpoint[0]}:{endpoint[1]}"), ("Content-Type", "application/json"), ("Connection", "close")]
--- a/stonetrack/cas_store/ports.py
+++ b/stonetrack/cas_store/ports.py
@@ -1,7 +1,7 @@
-"""What a register does, whatever store is behind it.  No I/O.
+"""The interface of a compare-and-set store.  No I/O.
 
-Linearizable reads and writes of single keys; a revision that changes with every write of a key and never comes back.
-A write that was not answered is *unknown*: it may have been done, or may still be done later.
+Reads and writes of single keys are linearizable; the revision of a key changes with every write and never repeats.
+A write whose answer was lost has an *unknown* outcome: it may have been carried out, or may still be carried out later.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-MAX_KEY_BYTES, MAX_VALUE_BYTES = 400, 1 << 20  # bytes
+MAX_KEY_BYTES, MAX_VALUE_BYTES = 400, 1 << 20
 
 
 class StoreError(Exception):
-    """The register does not do what was asked; nothing was written."""
+    """The store refused the call or could not be reached; nothing was written."""
 
 
 class UnknownOutcome(StoreError):
-    """Nobody knows whether the write was done."""
+    """The write may or may not have been carried out."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A key's value and its revision; revision 0 and no value where there is none."""
+    """The value of a key and its revision; revision 0 and an empty value where there is no such key."""
 
     value: bytes
     revision: int
@@ -33,32 +33,32 @@
 
 
 class CasStore(Protocol):
-    """One store."""
+    """A compare-and-set store."""
 
     def read(self, key: str) -> Entry:
-        """What is there now.  Raises StoreError."""
+        """Read the present entry of a key.  Raises StoreError."""
 
     def compare_and_set(self, key: str, revision: int, value: bytes) -> int | None:
-        """Write if the key still has this revision (0: if it is not there); the new one, or None where it has another.
+        """Write if the key still has this revision (0: if there is no such key).
 
-        Raises UnknownOutcome, StoreError."""
+        Returns the new revision, or None where the key has another one.  Raises UnknownOutcome, StoreError."""
 
     def keys(self, prefix: str) -> list[str]:
-        """Keys that begin so, in order.  Raises StoreError."""
+        """The keys with this prefix, in order.  Raises StoreError."""
 
-    def watch(self, key: str, revision: int, seconds: float, tell: Callable[[Entry], bool]) -> None:
-        """Tell of each write of a key after a revision, as it comes, until ``tell`` says that it is enough or for so
-        many seconds; early for any reason, and late for any: what is told may have been written over since.  Raises
-        StoreError."""
+    def watch(self, key: str, revision: int, seconds: float, on_write: Callable[[Entry], bool]) -> None:
+        """Call ``on_write`` for each write of a key after a revision, as it arrives, for ``seconds`` or until the
+        callback returns False.  May return early for any reason; entries may arrive late, and the key may have been written
+        since.  Raises StoreError."""
 
     def close(self) -> None:
-        """Let go of it."""
+        """Release the resources of the store."""
 
 
 def checked_key(key: str, value: bytes = b"") -> bytes:
-    """A key as bytes.  Raises StoreError where key or value are out of bounds."""
+    """The key as bytes.  Raises StoreError where the key or the value is too large."""
     raw = key.encode()
     if not 0 < len(raw) <= MAX_KEY_BYTES or len(value) > MAX_VALUE_BYTES:
-        sizes = f"{len(raw)} bytes with {len(value)} bytes; at most {MAX_KEY_BYTES}, {MAX_VALUE_BYTES}"
-        raise StoreError(f"key {key[:60]!r} of {sizes}")
+        size = f"{len(raw)} bytes with {len(value)} bytes; at most {MAX_KEY_BYTES}, {MAX_VALUE_BYTES}"
+        raise StoreError(f"key {key[:60]!r} of {size}")
     return raw
--- a/stonetrack/election/__init__.py
+++ b/stonetrack/election/__init__.py
@@ -1,6 +1,7 @@
-"""One owner at a time for work on behalf of the fleet: who may do it, and how an old owner is kept out.
+"""Leader election: at most one process at a time works on behalf of the fleet; effects of old leaders are refused.
 
-Inputs: times of a monotonic clock, what a register holds, what became of a write to it.  Outputs: what to read or write
-there next, and whether this process may act now (:mod:`.lease`); whether a receiver takes an effect (:mod:`.fence`).
-Must not depend on: sockets, threads, clocks, files, chance of its own; the fleet's work itself (``controller``).
+Inputs: times of a monotonic clock, records of a compare-and-set store, results of writes to it.  Outputs: the next
+read or write, and whether this process may act now (:mod:`.lease`); whether a receiver accepts an effect
+(:mod:`.fencing`).  Must not depend on: sockets, threads, clocks, files, randomness of its own; the work of the leader
+(``controller``).
 """
--- a/stonetrack/election/breadth_first.py
+++ b/stonetrack/election/breadth_first.py
@@ -1,7 +1,7 @@
-"""Every history of a small world, breadth first, so that the first that breaks a promise is a shortest one.  No I/O.
+"""Explores every history of a small model breadth first, so that the first violation found has a shortest history.
 
-A world is a frozen value; its steps are all that may happen next, each with what it is called and the promise that it
-breaks, if any.  Two worlds that behave alike are one state: ``plain`` takes away what tells them apart.
+A state of the model is an immutable value.  Its steps are all that may happen next, each with a description and the
+property that it violates, if any.  States that behave alike are explored once: ``canonical`` maps them to one.  No I/O.
 """
 
 from __future__ import annotations
@@ -11,43 +11,46 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-W = TypeVar("W")
+State = TypeVar("State")
 
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """What came of it; ``history`` is empty where no promise was broken."""
+    """The result; ``history`` is empty where no property was violated."""
 
     states: int
     violation: str
     history: tuple[str, ...]
-    complete: bool  # whether every state within the bounds was seen
+    complete: bool  # whether every state within the bounds was explored
 
 
 def search(
-    first: W, steps: Callable[[W], Iterable[tuple[str, W, str]]], plain: Callable[[W], W], most: int
+    initial: State,
+    steps: Callable[[State], Iterable[tuple[str, State, str]]],
+    canonical: Callable[[State], State],
+    max_states: int,
 ) -> SearchResult:
-    """All states that can be reached, ``most`` at the most."""
-    came: dict[W, tuple[W, str] | None] = {first: None}
-    waiting = deque([first])
-    while waiting:
-        world = waiting.popleft()
-        for said, after, broken in steps(world):
-            then = plain(after)
-            if broken:
-                return SearchResult(len(came), broken, (*_history(came, world), said), False)
-            if then in came:
+    """Explore all reachable states, ``max_states`` at most."""
+    predecessors: dict[State, tuple[State, str] | None] = {initial: None}
+    queue = deque([initial])
+    while queue:
+        state = queue.popleft()
+        for description, after, violation in steps(state):
+            following = canonical(after)
+            if violation:
+                return SearchResult(len(predecessors), violation, (*_history(predecessors, state), description), False)
+            if following in predecessors:
                 continue
-            came[then] = (world, said)
-            waiting.append(then)
-            if len(came) >= most:
-                return SearchResult(len(came), "", (), False)
-    return SearchResult(len(came), "", (), True)
-
-
-def _history(came: dict[W, tuple[W, str] | None], world: W) -> tuple[str, ...]:
-    said: list[str] = []
-    while (step := came[world]) is not None:
-        world, text = step
-        said.append(text)
-    return tuple(reversed(said))
+            predecessors[following] = (state, description)
+            queue.append(following)
+            if len(predecessors) >= max_states:
+                return SearchResult(len(predecessors), "", (), False)
+    return SearchResult(len(predecessors), "", (), True)
+
+
+def _history(predecessors: dict[State, tuple[State, str] | None], state: State) -> tuple[str, ...]:
+    descriptions: list[str] = []
+    while (step := predecessors[state]) is not None:
+        state, text = step
+        descriptions.append(text)
+    return tuple(reversed(descriptions))
--- a/stonetrack/election/fencing.py
+++ b/stonetrack/election/fencing.py
@@ -1,10 +1,10 @@
-"""What keeps an old owner's late effects out: the receiver remembers the latest owner it has taken an effect of.
+"""Fencing tokens: a receiver remembers the latest leader whose effect it accepted and refuses older ones.
 
-No clock can save an owner that is stopped between its last look and its write.  So every effect carries its owner's
-*token*, the term and the owner's name, and whoever takes effects keeps the highest seen and refuses what is older.  A
-second owner of the same term is refused too: there is none unless the register lost a write.  Where the effect is
-durable the token must be on disk **before** the effect is: a receiver that forgot it at a restart would take the old
-owner's again.
+No clock protects against a leader that is stopped between its last look at the clock and its write.  So every effect
+carries its leader's *token*, the term and the leader's identifier; a receiver keeps the highest token seen and refuses
+older ones.  A second leader of the same term is refused too: it exists only if the store lost a write.  Where the
+effect is durable the token must be on disk **before** the effect: a receiver that forgot the token at a restart would
+accept effects of the old leader again.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 import msgspec
 
 TOKEN_HEADER = "X-Stonetrack-Term"
-_FORM = re.compile(r"([0-9]{1,18}) ([!-~]{1,200})")
+_TOKEN = re.compile(r"([0-9]{1,18}) ([!-~]{1,200})")
 
 
 class Token(msgspec.Struct, frozen=True):
-    """Whose effect it is."""
+    """The leader that an effect belongs to."""
 
     term: int
     owner: str
@@ -32,7 +32,7 @@
 
 
 class FencingError(Exception):
-    """An effect that is not taken; ``known`` is the latest token there."""
+    """The receiver refuses an effect; ``known`` is its latest token."""
 
     def __init__(self, text: str, known: Token) -> None:
         super().__init__(text)
@@ -40,16 +40,16 @@
 
 
 class Fence:
-    """One receiver's, for one thing; ``known`` is the token that was kept.
+    """The fence of one receiver for one resource; ``known`` is the token that was stored.
 
-    While no token was ever seen, effects without one are taken: a fleet without a steward has none.
+    While no token was ever seen, effects without one are accepted: a fleet without a controller has no tokens.
     """
 
     def __init__(self, what: str, known: Token = NO_TOKEN) -> None:
         self.what, self.known = what, known
 
     def check(self, token: Token | None) -> None:
-        """Raises FencingError."""
+        """Raises FencingError unless an effect with this token may be applied."""
         known = self.known
         if token is None:
             if known.term:
@@ -65,7 +65,7 @@
             raise FencingError(text, known)
 
     def admit(self, token: Token | None, persist: Callable[[Token], None] = lambda token: None) -> None:
-        """Take an effect, and from here on none older.  ``persist`` makes a new token durable first; what it raises
+        """Accept an effect, and from here on none older.  ``persist`` makes a new token durable first; what it raises
         leaves all as it was.  Raises FencingError."""
         self.check(token)
         if token is not None and token != self.known:
@@ -74,10 +74,10 @@
 
 
 def parse_token(value: str) -> Token | None:
-    """The token that a header's value gives; None for no header.  Raises ValueError for anything else."""
+    """Parse the value of the header; None where it is empty.  Raises ValueError where it is malformed."""
     if not value:
         return None
-    found = _FORM.fullmatch(value)
-    if found is None:
+    match = _TOKEN.fullmatch(value)
+    if match is None:
         raise ValueError(f"{TOKEN_HEADER}: {value[:60]!r}; allowed: TERM OWNER, as in '7 s1/4fe2'")
-    return Token(int(found.group(1)), found.group(2))
+    return Token(int(match.group(1)), match.group(2))
--- a/stonetrack/election/lease.py
+++ b/stonetrack/election/lease.py
@@ -1,38 +1,41 @@
-"""A lease on the fleet's work, taken by compare-and-set on a register.
+"""Leader election by a lease that candidates acquire with compare-and-set on a shared store.
 
-The problem.  Any number of candidates; at most one may act.  The register orders writes but has no clock that all
-trust, and a candidate may stop for a minute between any two instructions.
+Any number of candidates may run; at most one may act at a time.  The store orders writes but has no clock that all
+processes trust, and a candidate may stop for a minute between any two instructions.
 
-The record in the register names the owner and a *term* that grows by one with each taking, and counts the owner's
-*beats*.  Nobody compares times of two machines:
+The record in the store names the leader and a *term*, which grows by one with each acquisition, and counts the
+leader's renewals (*beats*).  Times of two machines are never compared:
 
-- The owner counts its lease on its own monotonic clock from **before** it sent the write that took or renewed it, and
-  counts it short: ``lease x (1 - drift) - margin``.  Past that it has stopped by itself, whatever it last heard.
-- A candidate counts from the moment at which it **had read** a beat that it had not seen before, and counts it long:
-  ``lease x (1 + drift) + margin``.  That moment is after the owner's write, which is after the owner's count began.
-  So its count ends after the owner's, as long as clocks run within ``drift`` of each other.
+- The leader measures its lease on its own monotonic clock from **before** it sent the write that acquired or renewed
+  it, and shortens it: ``lease x (1 - drift) - margin``.  After that it stops by itself, whatever it last received.
+- A candidate measures from the moment at which it **had read** a beat that it had not seen before, and lengthens the
+  lease: ``lease x (1 + drift) + margin``.  That moment is after the leader's write, which is after the leader's
+  measurement began.  So the candidate's time ends after the leader's, as long as the rates of their clocks differ by
+  ``drift`` at most.
 
 States::
 
-    WATCHING --stale or free--> ASKING --done--> OWNING --out of time, overtaken, paused, asked to go--> WATCHING
-    ASKING --lost race--> WATCHING          ASKING --answer lost--> DOUBT --next read tells--> OWNING or WATCHING
+    WATCHING --stale or free--> ACQUIRING --done--> LEADING --expired, superseded, paused, hand-over--> WATCHING
+    ACQUIRING --conflict--> WATCHING      ACQUIRING --answer lost--> UNCERTAIN --next read--> LEADING or WATCHING
     any --term goes back--> HALTED --a record past the highest term seen--> WATCHING
 
-Edges that need a reason:
-
-- DOUBT, not OWNING, after an answer was lost: the write may have been done or not.  The next read tells by ``claim``, a
-  word that only this write carries; the lease then counts from before the write, as if its answer had come.
-- A renewal whose answer was lost changes nothing: the old count goes on and the next read tells the revision.
-- A renewal that lost its race is read before anything else: a person who pauses, or asks for a hand-over, writes the
-  same record, and the owner is still the owner.  Until the read it goes on within its count.
-- HALTED: a register that lost its last writes, or was put back from a copy, would give out a term a second time, and
-  the receivers' fences could not tell the two owners apart.  So nothing is done until a person has raised the term
-  above all that is known (``steward resume``).
-- A free record (the owner handed over) may be taken at once, after a wait drawn so that candidates do not all write.
-
-A lease alone does not exclude an owner that was stopped between its look at the clock and its write; the receivers'
-fences do (:mod:`.fence`).  Everything here is a value: each step gives the next state, so that the same code runs in
-the steward and in the exhaustive exploration (:mod:`.explore`).
+Reasons for the less obvious transitions:
+
+- UNCERTAIN, not LEADING, after an answer was lost: the write may or may not have been carried out.  The next read
+  decides by ``claim``, an identifier that only this write has; the lease then counts from before the write, as if its
+  answer had arrived.
+- A renewal whose answer was lost changes nothing: the lease runs on and the next read returns the revision.
+- A renewal that lost a race is followed by a read: an operator who pauses the work, or asks for a hand-over, writes the
+  same record, and the leader is still the leader.  Until the read it continues within its lease.
+- HALTED: a store that lost its last writes, or was restored from a backup, would assign a term a second time, and the
+  receivers' fences could not distinguish the two leaders.  So nothing is done until an operator has raised the term
+  above all known ones (``steward resume``).
+- A free record (the leader handed over) may be acquired at once, after a random delay so that candidates do not all
+  write at the same moment.
+
+A lease alone does not exclude a leader that was stopped between its look at the clock and its write; the receivers'
+fences do (:mod:`.fencing`).  Every state is an immutable value, so that the same code runs in the controller and in the
+model checker (:mod:`.model_checker`).
 """
 
 from __future__ import annotations
@@ -42,47 +45,47 @@
 
 import msgspec
 
-UNKNOWN_REVISION = -1  # no revision known
+UNKNOWN_REVISION = -1
 
 
 class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the register holds; ``owner`` is empty while nobody owns."""
+    """The record in the store; ``owner`` names the leader and is empty while there is none."""
 
     term: int
     owner: str = ""
-    claim: str = ""  # of the write that took it
+    claim: str = ""  # identifies the write that acquired the lease
     beats: int = 0
-    paused: str = ""  # why nobody may own, in a person's words; empty: not paused
-    wanted: str = ""  # the candidate to whom the owner is asked to hand over; "*": to anybody else
+    paused: str = ""  # an operator's reason why there must be no leader; empty: not paused
+    wanted: str = ""  # candidate to which the leader is asked to hand over; "*": any other
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimes:
-    """Durations in nanoseconds; ``drift`` is the most by which two clocks' rates differ."""
+    """Durations in nanoseconds; ``drift`` is the largest difference between the rates of two clocks."""
 
     lease: int
     drift: float = 0.05
     margin: int = 0
-    renewals: int = 3  # beats within a lease
+    renewals: int = 3  # within a lease
 
     @property
     def leader_span(self) -> int:
-        """For how long an owner acts, from before it asked."""
+        """How long a leader may act, from before its write was sent."""
         return int(self.lease * (1.0 - self.drift)) - self.margin
 
     @property
     def candidate_span(self) -> int:
-        """For how long a candidate leaves a beat alone, from when it had read it."""
+        """How long a candidate waits for the next beat, from when it had read the last one."""
         return int(self.lease * (1.0 + self.drift)) + self.margin
 
     @property
     def renewal_interval(self) -> int:
-        """From one renewal, or look, to the next."""
+        """From one renewal, or read, to the next."""
         return max(1, self.leader_span // self.renewals)
 
 
 class Stage(Enum):
-    """See the module."""
+    """States of a candidate; the module describes the transitions."""
 
     WATCHING = "watching"
     ACQUIRING = "asking"
@@ -92,12 +95,12 @@
 
 
 class Outcome(Enum):
-    """What became of a write."""
+    """The result of a write."""
 
     DONE = "done"
-    CONFLICT = "lost"  # another revision is there: nothing was written
+    CONFLICT = "lost"  # the record has another revision: nothing was written
     UNKNOWN = "unknown"  # the answer was lost
-    FAILED = "failed"  # certainly not done
+    FAILED = "failed"  # certainly not carried out
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRecord:
-    """Write the record if the revision is still this one (0: if there is none)."""
+    """Write the record if it still has this revision (0: if there is no record)."""
 
     revision: int
     record: Record
@@ -115,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sleep:
-    """Nothing to do until then, nanoseconds of the clock."""
+    """Nothing to do until this time of the clock, in nanoseconds."""
 
     until: int
 
@@ -125,10 +128,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """One candidate's view; times in nanoseconds of its own clock.
+    """The state of one candidate; times in nanoseconds of its own clock.
 
-    ``candidate_id`` names this process alone, not its place: one that was started again is another candidate.  ``rank``
-    is how many beats it waits longer than the most wanted candidate before it asks.
+    ``candidate_id`` identifies this process: a restarted process is another candidate.  ``rank`` is how many renewal
+    intervals it waits longer than the preferred candidate before it tries to acquire the lease.
     """
 
     candidate_id: str
@@ -137,21 +140,21 @@
     stage: Stage = Stage.WATCHING
     record: Record | None = None
     revision: int = UNKNOWN_REVISION
-    beat_read_at: int = 0  # when this beat was first read
-    highest_term: int = 0  # highest term known
-    next_read_at: int = 0  # when the next look or renewal is due
-    acquire_at: int = 0  # not to ask before
-    written_at: int = 0  # when the write out was sent
-    pending: Record | None = None  # the write out, or the one in doubt
-    acquire_attempts: int = 0  # writes that asked for the lease; each carries a claim of its own
-    held_until: int = 0  # the lease, while it owns
-    stepping_down: bool = False  # this process is asked to end
-    reason: str = ""  # why it does not own, for people
-
-    # What may be done.
+    beat_read_at: int = 0  # when the current revision was first read
+    highest_term: int = 0  # known
+    next_read_at: int = 0  # when the next read or renewal is due
+    acquire_at: int = 0  # earliest time of an acquisition
+    written_at: int = 0  # when the pending write was sent
+    pending: Record | None = None  # the write under way, or the one with an unknown outcome
+    acquire_attempts: int = 0  # each has a claim of its own
+    held_until: int = 0  # end of the lease, while leading
+    stepping_down: bool = False  # this process is asked to stop
+    reason: str = ""  # why it does not lead, for operators
+
+    # Decisions.
 
     def holds(self, now: int) -> bool:
-        """Whether this process may act.  To be asked right before each effect, and after every wait."""
+        """Whether this process may act.  Must be checked right before each effect, and after every wait."""
         return self.stage is Stage.LEADING and now < self.held_until
 
     @property
@@ -160,35 +163,33 @@
         return self.record.term if self.stage is Stage.LEADING and self.record is not None else 0
 
     def step(self, now: int, chance: float) -> tuple[Lease, Action]:
-        """What to do now.  ``chance`` is a fresh number in [0, 1)."""
+        """The next action.  ``chance`` is a new random number in [0, 1)."""
         if self.stage is Stage.LEADING:
-            return self._own(now, chance)
+            return self._lead(now, chance)
         if self.stage is Stage.ACQUIRING:
-            return self, Sleep(
-                self.written_at + self.times.lease
-            )  # the host answers for its write before it asks again
+            return self, Sleep(self.written_at + self.times.lease)  # the caller reports the write first
         if now >= self.next_read_at:
-            return self._look(now, chance)
+            return self._read(now, chance)
         if self.revision == UNKNOWN_REVISION or self.stage is Stage.UNCERTAIN:
             return self, Sleep(self.next_read_at)
-        free_at = self._free_at()
-        if free_at is None:
+        acquirable_at = self._acquirable_at()
+        if acquirable_at is None:
             return self, Sleep(self.next_read_at)
-        if now < max(free_at, self.acquire_at):
-            return self, Sleep(min(self.next_read_at, max(free_at, self.acquire_at)))
+        if now < max(acquirable_at, self.acquire_at):
+            return self, Sleep(min(self.next_read_at, max(acquirable_at, self.acquire_at)))
         term = max(self.highest_term, self.record.term if self.record is not None else 0) + 1
         kept = self.record or Record(0)
-        asked = Record(term, self.candidate_id, f"{self.candidate_id}/{self.acquire_attempts}", 0, kept.paused, "")
-        asking = replace(
-            self, stage=Stage.ACQUIRING, pending=asked, written_at=now, acquire_attempts=self.acquire_attempts + 1
+        claimed = Record(term, self.candidate_id, f"{self.candidate_id}/{self.acquire_attempts}", 0, kept.paused, "")
+        acquiring = replace(
+            self, stage=Stage.ACQUIRING, pending=claimed, written_at=now, acquire_attempts=self.acquire_attempts + 1
         )
-        return asking, WriteRecord(max(0, self.revision), asked)
+        return acquiring, WriteRecord(max(0, self.revision), claimed)
 
-    def _look(self, now: int, chance: float) -> tuple[Lease, Action]:
+    def _read(self, now: int, chance: float) -> tuple[Lease, Action]:
         return replace(self, next_read_at=now + int(self.times.renewal_interval * (0.75 + 0.5 * chance))), ReadRecord()
 
-    def _free_at(self) -> int | None:
-        """When the record may be taken, by this candidate; None while it may not."""
+    def _acquirable_at(self) -> int | None:
+        """When this candidate may acquire the lease; None while it may not."""
         if self.stepping_down or self.stage is Stage.HALTED:
             return None
         record = self.record
@@ -199,13 +200,13 @@
         if not record.owner:
             if record.wanted in ("", "*", self.candidate_id, configured_name(self.candidate_id)):
                 return self.beat_read_at
-            return self.beat_read_at + self.times.candidate_span  # whom it was meant for does not come
+            return self.beat_read_at + self.times.candidate_span  # the intended successor does not acquire it
         return self.beat_read_at + self.times.candidate_span
 
-    def _own(self, now: int, chance: float) -> tuple[Lease, Action]:
+    def _lead(self, now: int, chance: float) -> tuple[Lease, Action]:
         assert self.record is not None
         if now >= self.held_until:
-            return self._watch(now, "the lease ran out").step(now, chance)
+            return self._stop_leading(now, "the lease ran out").step(now, chance)
         wanted = self.record.wanted
         if (
             self.stepping_down
@@ -214,12 +215,12 @@
         ):
             kept = wanted if wanted not in ("", "*") else ""
             free = replace_record(self.record, owner="", claim="", wanted=kept)
-            self_then = replace(self, stage=Stage.WATCHING, held_until=0, reason="handed over", next_read_at=now,
+            resigned = replace(self, stage=Stage.WATCHING, held_until=0, reason="handed over", next_read_at=now,
                                 acquire_at=now + self.times.candidate_span)  # fmt: skip
-            # It stops here, whether the write comes through or not: then the others wait their patience.
-            return self_then, WriteRecord(self.revision, free)
+            # It stops here even if the write fails: the others then wait for the lease to expire.
+            return resigned, WriteRecord(self.revision, free)
         if now >= self.next_read_at and self.revision == UNKNOWN_REVISION:
-            return self._look(now, chance)
+            return self._read(now, chance)
         if now >= self.next_read_at:
             renewed = replace_record(self.record, beats=self.record.beats + 1, wanted="")
             return replace(self, pending=renewed, written_at=now,
@@ -227,94 +228,98 @@
                 self.revision, renewed)  # fmt: skip
         return self, Sleep(min(self.next_read_at, self.held_until))
 
-    def _watch(self, now: int, why: str) -> Lease:
-        return replace(self, stage=Stage.WATCHING, held_until=0, reason=why, pending=None, next_read_at=now)
+    def _stop_leading(self, now: int, reason: str) -> Lease:
+        return replace(self, stage=Stage.WATCHING, held_until=0, reason=reason, pending=None, next_read_at=now)
 
-    # What came of it.
+    # Results.
 
     def record_read(self, now: int, revision: int, record: Record | None, chance: float) -> Lease:
-        """What the register held; None where there is no record.  ``now`` is after the answer came."""
+        """Apply a read; ``record`` is None where there is none, ``now`` is after the answer arrived."""
         term = record.term if record is not None else 0
         if term < self.highest_term:
-            why = f"the register went back from term {self.highest_term} to {term}"
+            reason = f"the register went back from term {self.highest_term} to {term}"
             return replace(
-                self, stage=Stage.HALTED, record=record, revision=revision, held_until=0, reason=why, pending=None
+                self, stage=Stage.HALTED, record=record, revision=revision, held_until=0, reason=reason, pending=None
             )
-        fresh = revision != self.revision
-        then = replace(
-            self, record=record, revision=revision, highest_term=term, beat_read_at=now if fresh else self.beat_read_at
+        changed = revision != self.revision
+        state = replace(
+            self,
+            record=record,
+            revision=revision,
+            highest_term=term,
+            beat_read_at=now if changed else self.beat_read_at,
         )
         mine = record is not None and record.owner == self.candidate_id
         if self.stage is Stage.UNCERTAIN and self.pending is not None:
             if mine and record is not None and record.claim == self.pending.claim:
-                return then._begin(self.written_at)
-            return replace(then, stage=Stage.WATCHING, pending=None)._spread(now, chance)
+                return state._start_leading(self.written_at)
+            return replace(state, stage=Stage.WATCHING, pending=None)._with_random_delay(now, chance)
         if self.stage is Stage.LEADING:
             assert self.record is not None
             if mine and record is not None and record.term == self.record.term:
-                return then
-            return then._watch(now, "another owner took over" if record and record.owner else "handed over")
+                return state
+            return state._stop_leading(now, "another owner took over" if record and record.owner else "handed over")
         if self.stage is Stage.HALTED:
-            if not fresh:
-                return then
-            then = replace(then, stage=Stage.WATCHING, reason="", beat_read_at=now)
-        return then._spread(now, chance) if fresh else then
+            if not changed:
+                return state
+            state = replace(state, stage=Stage.WATCHING, reason="", beat_read_at=now)
+        return state._with_random_delay(now, chance) if changed else state
 
     def record_notified(self, now: int, revision: int, record: Record, chance: float) -> Lease:
-        """The register told of a write by itself, where a candidate follows it: as good as a look, which is then due
-        only once the beat is stale.  What is not newer than what was read says nothing, and what comes late counts
-        from when it came: a candidate then waits longer, never shorter."""
+        """Apply a notification of the store's watch, which replaces a read: the next read is due only once the beat
+        is stale.  One that is not newer than the last read is ignored; one that arrives late counts from its arrival,
+        so that a candidate waits longer, never shorter."""
         if self.stage is not Stage.WATCHING or not 0 <= self.revision < revision or record.term < self.highest_term:
             return self
-        then = self.record_read(now, revision, record, chance)
-        return replace(then, next_read_at=max(then.next_read_at, now + self.times.candidate_span))
+        state = self.record_read(now, revision, record, chance)
+        return replace(state, next_read_at=max(state.next_read_at, now + self.times.candidate_span))
 
-    def _spread(self, now: int, chance: float) -> Lease:
-        """A moment of its own from which it may ask, once the record is free."""
-        free_at = self._free_at()
+    def _with_random_delay(self, now: int, chance: float) -> Lease:
+        """Draw the time from which it may acquire the lease, once the record is free."""
+        acquirable_at = self._acquirable_at()
         wait = int(self.times.renewal_interval * (self.rank + chance) / 2.0)
-        return replace(self, acquire_at=(now if free_at is None else max(now, free_at)) + wait)
+        return replace(self, acquire_at=(now if acquirable_at is None else max(now, acquirable_at)) + wait)
 
-    def _begin(self, written_at: int) -> Lease:
+    def _start_leading(self, written_at: int) -> Lease:
         return replace(self, stage=Stage.LEADING, held_until=written_at + self.times.leader_span, pending=None,
                        reason="", next_read_at=written_at + self.times.renewal_interval)  # fmt: skip
 
     def write_finished(self, now: int, outcome: Outcome, revision: int, chance: float) -> Lease:
-        """What became of the write of the last step; ``revision`` is the new one where it was done."""
-        asked = self.pending
-        if self.stage is Stage.ACQUIRING and asked is not None:
+        """Apply the result of the pending write; ``revision`` is the new one where it was carried out."""
+        pending = self.pending
+        if self.stage is Stage.ACQUIRING and pending is not None:
             if outcome is Outcome.DONE:
-                return replace(self, record=asked, revision=revision, highest_term=asked.term, beat_read_at=now)._begin(
-                    self.written_at
-                )
+                return replace(
+                    self, record=pending, revision=revision, highest_term=pending.term, beat_read_at=now
+                )._start_leading(self.written_at)
             if outcome is Outcome.UNKNOWN:
                 return replace(self, stage=Stage.UNCERTAIN, next_read_at=now)
-            return replace(self, stage=Stage.WATCHING, pending=None, next_read_at=now)._spread(now, chance)
-        if self.stage is Stage.LEADING and asked is not None:
+            return replace(self, stage=Stage.WATCHING, pending=None, next_read_at=now)._with_random_delay(now, chance)
+        if self.stage is Stage.LEADING and pending is not None:
             if outcome is Outcome.DONE:
                 return replace(
                     self,
-                    record=asked,
+                    record=pending,
                     revision=revision,
                     held_until=self.written_at + self.times.leader_span,
                     pending=None,
                 )
-            if outcome is Outcome.FAILED:  # nothing was written, and the register may need its time
+            if outcome is Outcome.FAILED:  # nothing was written, and the store may need time to recover
                 return replace(self, pending=None)
             return replace(self, pending=None, next_read_at=now, revision=UNKNOWN_REVISION)
         return replace(self, pending=None, next_read_at=now)
 
     def fenced(self, now: int, highest: int) -> Lease:
-        """A receiver refused this term, since it took an effect of a later one (or of this one by another owner): the
-        register does not say what it should."""
+        """A receiver refused this term, since it accepted an effect of a later one (or of this one by another leader):
+        the store has lost a write."""
         top = max(self.highest_term, highest)
         term = self.record.term if self.record is not None else 0
-        why = f"a receiver knows term {highest}, the register says {term}"
+        reason = f"a receiver knows term {highest}, the register says {term}"
         stage = Stage.HALTED if term <= highest else Stage.WATCHING
-        return replace(self, stage=stage, highest_term=top, held_until=0, reason=why, pending=None, next_read_at=now)
+        return replace(self, stage=stage, highest_term=top, held_until=0, reason=reason, pending=None, next_read_at=now)
 
     def step_down(self) -> Lease:
-        """This process is asked to end: hand over at the next step, and do not ask again."""
+        """Hand over at the next step, and do not acquire the lease again: this process is asked to stop."""
         return replace(self, stepping_down=True)
 
 
@@ -324,5 +329,5 @@
 
 
 def configured_name(candidate_id: str) -> str:
-    """The place that a process's name belongs to: ``s1`` of ``s1/4fe2``."""
+    """The configured name within a candidate's identifier: ``s1`` of ``s1/4fe2``."""
     return candidate_id.partition("/")[0]
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -198,10 +198,10 @@
     """An LMDB store whose transactions fail at one step."""
 
     def __init__(self, store: Any, step: str) -> None:
-        self._store, self._step = store, step
+        self._environment, self._step = store, step
 
     def begin(self, write: bool = False) -> Any:
-        transaction = self._store.begin(write=write)
+        transaction = self._environment.begin(write=write)
         if not write:
             return transaction
         if self._step == "begin":
@@ -210,7 +210,7 @@
         return _FailingTransaction(transaction, self._step)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self._store, name)
+        return getattr(self._environment, name)
 
 
 class _FailingTransaction:
@@ -239,11 +239,11 @@
     """A failed commit may be on disk or not: the lease must count neither as lost nor as held."""
     register = EmbeddedStore(tmp_path / "register")
     assert register.compare_and_set("k", 0, b"a") == 1
-    store = register._store
-    register._store = _FailingStore(store, step)  # type: ignore[assignment]
+    store = register._environment
+    register._environment = _FailingStore(store, step)  # type: ignore[assignment]
     with pytest.raises(StoreError) as raised:
         register.compare_and_set("k", 1, b"b")
     assert isinstance(raised.value, UnknownOutcome) == unknown
-    register._store = store
+    register._environment = store
     assert register.read("k").value == b"a" and register.compare_and_set("k", 1, b"c") == 2
     register.close()
