--- a/stonetrack/cas_store/etcd.py
+++ b/stonetrack/cas_store/etcd.py
@@ -100,7 +100,7 @@
     }
 
 
-def swap_request(key: str, revision: int, value: bytes) -> dict[str, Any]:
+def compare_and_set_request(key: str, revision: int, value: bytes) -> dict[str, Any]:
     """The body of a compare-and-set transaction."""
     key_bytes = b64(checked_key(key, value))
     condition = ({"target": "MOD", "mod_revision": str(revision)} if revision
@@ -152,7 +152,7 @@
 
     def compare_and_set(self, key: str, revision: int, value: bytes) -> int | None:
         """See ``ports.CasStore``."""
-        request = swap_request(key, revision, value)
+        request = compare_and_set_request(key, revision, value)
         reply = self._first_answer(
             lambda endpoint: _decode(self._call(endpoint, "/v3/kv/txn", request, write=True), _Txn)
         )
--- a/stonetrack/cas_store/ports.py
+++ b/stonetrack/cas_store/ports.py
@@ -47,9 +47,10 @@
         """The keys with this prefix, in order.  Raises StoreError."""
 
     def watch(self, key: str, revision: int, seconds: float, on_write: Callable[[Entry], bool]) -> None:
-        """Call ``on_write`` for each write of a key after a revision, as it arrives, for ``seconds`` or until the
-        callback returns False.  May return early for any reason; entries may arrive late, and the key may have been written
-        since.  Raises StoreError."""
+        """Call ``on_write`` for each write of a key after a revision, as it arrives, until it returns False.
+
+        Ends after ``seconds`` at the latest, and may end early for any reason.  Entries may arrive late, and the key
+        may have been written since.  Raises StoreError."""
 
     def close(self) -> None:
         """Release the resources of the store."""
--- a/stonetrack/controller/calls.py
+++ b/stonetrack/controller/calls.py
@@ -1,4 +1,4 @@
-"""The calls that a steward makes to receivers: what it learns, and its effects, each with the owner's token."""
+"""Calls of a controller to receivers: gathers facts, and carries out effects, each with the leader's token."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from stonetrack.engines.calls import CallFailed
 from stonetrack.wire import writer
 
-PROBERS = 16  # checks under way at one time
+CONCURRENT_CHECKS = 16
 
 
 class EffectRefused(OSError):
-    """A receiver that knows a later owner."""
+    """A receiver refuses the effect, since it knows a later leader."""
 
     def __init__(self, text: str, known: Token) -> None:
         super().__init__(text)
@@ -37,24 +37,24 @@
 
 
 class NoList(CallFailed):
-    """The list service was given no list yet, or lost it."""
+    """The discovery service has no list yet, or lost it."""
 
 
-class _Listed(msgspec.Struct):
+class _List(msgspec.Struct):
     engines: tuple[dict[str, Any], ...] = ()
     origin: str = ""
     version: int = 0
 
 
-class _Known(msgspec.Struct):
+class _Refusal(msgspec.Struct):
     error: str = ""
     known: Token = NO_TOKEN
 
 
 def numbered_documents(folder: str, read: Callable[[Any], dict[str, Any]]) -> tuple[dict[str, Any], ...]:
-    """What a folder's ``NUMBER.json`` say, in order, each with its number; none where no folder is set.
+    """The documents ``NUMBER.json`` of a folder, in order, each with its number; none where no folder is set.
 
-    One that can't be read stops those after it, since order counts."""
+    One that can't be read hides those after it, since the order matters."""
     found: list[dict[str, Any]] = []
     if not folder:
         return ()
@@ -68,44 +68,45 @@
 
 
 class Receivers:
-    """All that a steward's effects may reach.  Each refuses an owner whose term is over."""
+    """All receivers of a controller's effects.  Each refuses a leader whose term is over."""
 
-    # Every effect there is, and who takes it; a test goes through them and fails for one without a fence.
+    # Every effect and its receiver; a test goes through them and fails for one without a fence.
     EFFECTS = {"change": "list service", "check": "list service", "put": "list service", "retain": "captures",
                "publish": "control", "stage": "control", "rollback": "control"}  # fmt: skip
 
     def __init__(self, settings: ControllerSettings) -> None:
         self._settings = settings
         self._tally = CheckTally(settings.checks.fails)
-        self._pool = ThreadPoolExecutor(PROBERS, thread_name_prefix="check")
-        self._served: tuple[float, float] | None = None  # requests served and asked, at the last look
+        self._pool = ThreadPoolExecutor(CONCURRENT_CHECKS, thread_name_prefix="check")
+        self._served: tuple[float, float] | None = None  # requests served, and all requests, at the last look
 
-    # Learning.
+    # Facts.
 
-    def facts(self, at: float, kind: str) -> Facts:
-        """What is known now, as far as this kind of job asks for it.  Raises OSError where the list service does not
-        say."""
-        if kind == RetentionJob.name:
+    def facts(self, at: float, job: str) -> Facts:
+        """Gather the facts that this job needs.  Raises OSError where the discovery service does not answer."""
+        if job == RetentionJob.name:
             return Facts(at)
-        if kind == RolloutJob.name:
+        if job == RolloutJob.name:
             nodes = control(self._settings.control, "GET", "/nodes", timeout_s=self._settings.call_s)
             return Facts(at, versions=self._versions(), nodes=tuple(nodes))
-        if kind == PublishJob.name:  # alone of all it has something to do where there is no list
+        if job == PublishJob.name:  # the only job with work to do where there is no list
             listed = self._listed()
             return Facts(at, listed.engines, listed.origin, listed.version, self._wanted())
-        engines = self._lines()
-        if kind == HealthCheckJob.name:
-            return Facts(at, engines, failing=self._checked(engines, wall_time()))  # nodes hold it against their clocks
-        return Facts(at, engines, service=self._service())
-
-    def _checked(self, engines: tuple[dict[str, Any], ...], at: float) -> dict[str, float | None]:
-        """One round of checks; engines that are told as leaving are left alone."""
+        engines = self._current_lines()
+        if job == HealthCheckJob.name:
+            return Facts(
+                at, engines, failing=self._run_checks(engines, wall_time())
+            )  # nodes compare it with their clocks
+        return Facts(at, engines, service=self._served_share())
+
+    def _run_checks(self, engines: tuple[dict[str, Any], ...], at: float) -> dict[str, float | None]:
+        """Run one round of checks; engines that are listed as draining are not checked."""
         names = [str(e["name"]) for e in engines if e.get("state", "up") == "up"]
         addresses = {str(e["name"]): str(e["address"]) for e in engines}
-        answers = self._pool.map(lambda name: self._answers(addresses[name]), names)
+        answers = self._pool.map(lambda name: self._answers_check(addresses[name]), names)
         return self._tally.add(dict(zip(names, answers, strict=True)), at)
 
-    def _answers(self, address: str) -> bool:
+    def _answers_check(self, address: str) -> bool:
         host, _, port = address.rpartition(":")
         headers = [("Host", address), ("X-Request-Id", "check"), ("Connection", "close")]
         try:
@@ -114,38 +115,39 @@
         except (CallFailed, ValueError):
             return False
 
-    def _lines(self) -> tuple[dict[str, Any], ...]:
+    def _current_lines(self) -> tuple[dict[str, Any], ...]:
         """The list service's lines.  Raises OSError, NoList among them."""
         listed = self._listed()
         if listed.version < 0:
             raise NoList("list service: no list was given yet")
         return listed.engines
 
-    def _listed(self) -> _Listed:
-        """What the list service says; of one that has no list the version is below 0.  Raises OSError."""
+    def _listed(self) -> _List:
+        """The present list; its version is below 0 where the discovery service has no list.  Raises OSError."""
         status, body = self._call("GET", None, None)
         if status == 204:
-            return _Listed()
+            return _List()
         with contextlib.suppress(msgspec.DecodeError):
-            listed = msgspec.json.decode(body, type=_Listed)
+            listed = msgspec.json.decode(body, type=_List)
             if status == 200:
                 return listed
             if status == 503 and listed.origin:
-                return _Listed((), listed.origin, -1)
+                return _List((), listed.origin, -1)
         raise CallFailed(f"list service: {status}: {body[:200].decode('utf-8', 'replace')}")
 
     def _wanted(self) -> tuple[dict[str, Any], ...]:
-        """The lists that are to be published."""
-        return numbered_documents(self._settings.publish, lambda told: {"engines": told["engines"]})
+        """The lists to publish."""
+        return numbered_documents(self._settings.publish, lambda document: {"engines": document["engines"]})
 
     def _versions(self) -> tuple[dict[str, Any], ...]:
-        """The versions that are to be rolled out."""
+        """The versions to roll out."""
         return numbered_documents(
-            self._settings.rollout.folder, lambda told: {"content": told["content"], "kind": told.get("kind", "rule")}
+            self._settings.rollout.folder,
+            lambda document: {"content": document["content"], "kind": document.get("kind", "rule")},
         )
 
-    def _service(self) -> float | None:
-        served = asked = 0.0
+    def _served_share(self) -> float | None:
+        served = total = 0.0
         for node in self._settings.nodes:
             host, _, port = node.rpartition(":")
             request = writer.request("GET", "/metrics", [("Host", node), ("Connection", "close")])
@@ -154,48 +156,48 @@
                 for line in body.decode("utf-8", "replace").splitlines() if status == 200 else ():
                     labels, _, value = line.rpartition(" ")
                     if labels.startswith("stonetrack_requests_total{") and 'ended="gone"' not in labels:
-                        asked += float(value)
+                        total += float(value)
                         served += float(value) * ('ended="served"' in labels)
         before = self._served
-        if before is not None and 0.0 <= asked - before[1] < 10.0 and served >= before[0]:
-            return None  # too few to tell yet
-        self._served = (served, asked)
-        if before is None or asked < before[1] or served < before[0]:
-            return None  # the first look, or nodes that began anew
-        return (served - before[0]) / (asked - before[1])
+        if before is not None and 0.0 <= total - before[1] < 10.0 and served >= before[0]:
+            return None  # too few requests for a share
+        self._served = (served, total)
+        if before is None or total < before[1] or served < before[0]:
+            return None  # the first look, or nodes restarted
+        return (served - before[0]) / (total - before[1])
 
     # Effects.
 
-    def carry_out(self, step: Step, token: Token, away: tuple[str, ...] = ()) -> dict[str, Any]:
-        """One effect; engines ``away`` stay told as leaving.  Raises EffectRefused, FencingError, OSError."""
+    def carry_out(self, step: Step, token: Token, withheld: tuple[str, ...] = ()) -> dict[str, Any]:
+        """Carry out one effect; engines ``withheld`` stay draining.  Raises EffectRefused, FencingError, OSError."""
         args = step.args
         if step.what == "retain":
             return {"deleted": len(apply_retention(Path(args["folder"]), args["budget"], token))}
         if self.EFFECTS[step.what] == "control":
             return self._control(step, token)
         if step.what in ("change", "check"):
-            # The line as it stands now: a step that is done again must not bring back what has changed since.
-            fresh = {key: args[key] for key in ("state", "failing") if key in args}
-            method, lines = "PATCH", [{**e, **fresh} for e in self._lines() if e["name"] == args["name"]]
+            # The line as it is now: a repeated step must not undo what has changed since.
+            changes = {key: args[key] for key in ("state", "failing") if key in args}
+            method, lines = "PATCH", [{**e, **changes} for e in self._current_lines() if e["name"] == args["name"]]
             if not lines:
-                return {}  # the engine has gone from the list meanwhile
+                return {}  # the engine was removed from the list meanwhile
         else:
             method = "PUT"
             checked = self._listed().engines if self._settings.checks.every_s else ()
             failing = {e["name"]: e["failing"] for e in checked if e.get("failing")}
-            lines = [{**e, **({"state": "draining"} if e["name"] in away else {}),
+            lines = [{**e, **({"state": "draining"} if e["name"] in withheld else {}),
                       **({"failing": failing[e["name"]]} if e["name"] in failing else {})}
                      for e in args["engines"]]  # fmt: skip
         status, body = self._call(method, msgspec.json.encode({"engines": lines}), token)
         if status == 409:
-            told = msgspec.json.decode(body, type=_Known)
-            raise EffectRefused(told.error, told.known)
+            refusal = msgspec.json.decode(body, type=_Refusal)
+            raise EffectRefused(refusal.error, refusal.known)
         if status != 200:
             raise CallFailed(f"list service: {status}: {body[:200].decode('utf-8', 'replace')}")
         return dict(msgspec.json.decode(body))
 
     def _control(self, step: Step, token: Token) -> dict[str, Any]:
-        """An effect at the control service.  Raises EffectRefused, ControlError."""
+        """Carry out an effect at the control service.  Raises EffectRefused, ControlError."""
         method, path = {"publish": ("PUT", "/settings"), "stage": ("POST", "/stage"),
                         "rollback": ("POST", "/rollback")}[step.what]  # fmt: skip
         wanted = ("content", "kind", "share") if step.what == "publish" else ("number", "share")
--- a/stonetrack/controller/jobs.py
+++ b/stonetrack/controller/jobs.py
@@ -1,18 +1,18 @@
-"""What a job is, and the journal from which a successor takes it up in the middle.  No I/O.
+"""Jobs, and the journal from which a successor continues a job in the middle.  No I/O.
 
-A kind is a small pure class: from the job's state and the facts it says the next step, and from a step's result the
-next state.  The journal holds, under the job's name in the register, the state, and the step that was begun and is not
-known to be done.  Its order::
+A job is a small pure class: it chooses the next step from its state and the facts, and computes the next state from the
+result of a step.  The journal in the store, under the job's name, holds the state and the step that was begun and is
+not known to be done.  The order is::
 
     write the step as begun  →  carry out its effect, with the token  →  write the state after it
 
-A successor that finds a step begun does it again, so each step says what makes it harmless to repeat.  The writes are
-compare-and-set with the owner's term inside: an old owner's write fails because the revision is another, and one with a
-higher term than the writer's is never written over.
+A successor that finds a step begun does it again, so each step states what makes it harmless to repeat.  The writes are
+compare-and-set and contain the leader's term: an old leader's write fails because the revision has changed, and an
+entry with a higher term than the writer's is never overwritten.
 
-Times in a state are Unix times of whoever wrote it, and two stewards' clocks may be an hour apart.  So who takes a
-journal over moves them as if no time had passed since its last line, and writes that down first: a phase may last
-longer where owners change, never shorter.
+Times in a state are Unix times of the writer's clock, and the clocks of two controllers may be an hour apart.  So a
+successor shifts them as if no time had passed since the last journal entry, and writes that entry first: a phase may
+last longer where leaders change, never shorter.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One effect.  ``what`` names the receiver's call, ``harmless`` why it may be repeated."""
+    """One effect.  ``what`` names the receiver's call, ``harmless`` states why it may be repeated."""
 
     what: str
     args: dict[str, Any] = {}
@@ -33,46 +33,46 @@
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """Nothing to do now; look again after so many seconds."""
+    """Nothing to do now; choose again after this many seconds."""
 
     seconds: float
     why: str = ""
 
 
 class Facts(msgspec.Struct, frozen=True):
-    """What is known of the fleet when a step is chosen; ``at`` is Unix time in seconds."""
+    """The state of the fleet when a step is chosen; ``at`` is Unix time in seconds."""
 
     at: float
-    engines: tuple[dict[str, Any], ...] = ()  # the list service's lines
-    origin: str = ""  # the history that it counts versions in
+    engines: tuple[dict[str, Any], ...] = ()  # server list of the discovery service
+    origin: str = ""  # history that ``version`` belongs to
     version: int = 0
-    wanted: tuple[dict[str, Any], ...] = ()  # what the operator's folder asks to be published, in order
-    failing: dict[str, float | None] = {}  # by the checks: since when, 0 for well, None for not known
-    versions: tuple[dict[str, Any], ...] = ()  # what the operator's folder asks to be rolled out, in order
-    nodes: tuple[dict[str, Any], ...] = ()  # what the control service knows of each node
-    service: float | None = None  # share of requests served since the last look; None where nobody tells
+    wanted: tuple[dict[str, Any], ...] = ()  # lists in the operator's folder to publish, in order
+    failing: dict[str, float | None] = {}  # by the health checks: since when, 0 for healthy, None for unknown
+    versions: tuple[dict[str, Any], ...] = ()  # versions in the operator's folder to roll out, in order
+    nodes: tuple[dict[str, Any], ...] = ()  # reports of the control service on each node
+    service: float | None = None  # share of requests served since the last look; None where unknown
 
 
 class Job(Protocol):
-    """One kind of job; settings are given to its constructor."""
+    """One job; its constructor takes the settings."""
 
     name: str
 
     def initial_state(self) -> dict[str, Any]:
-        """The state of a job that was never done."""
+        """The state before the first step."""
 
     def next_step(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
-        """The next step.  The same state and facts give the same one."""
+        """The next step.  Deterministic in state and facts."""
 
     def state_after(self, state: dict[str, Any], step: Step, result: dict[str, Any], at: float) -> dict[str, Any]:
-        """The state once a step is done."""
+        """The state after a step is done; ``at`` is Unix time in seconds."""
 
     def shift_times(self, state: dict[str, Any], by: float) -> dict[str, Any]:
-        """The state by a clock that is so many seconds ahead."""
+        """The state with all its times moved by ``by`` seconds, for a clock that is ahead by them."""
 
 
 class WithoutTimes:
-    """A kind whose state holds no times that count."""
+    """A job whose state holds no times that need shifting."""
 
     def shift_times(self, state: dict[str, Any], by: float) -> dict[str, Any]:
         """See ``Job``."""
@@ -80,40 +80,40 @@
 
 
 class JournalEntry(msgspec.Struct, frozen=True):
-    """What the journal holds of one job."""
+    """The journal of one job."""
 
     term: int
     owner: str
     state: dict[str, Any]
     number: int = 0  # steps done
     begun: Step | None = None
-    at: float = 0.0  # when it was written, Unix time of the owner
-    trouble: str = ""  # why the last try failed
+    at: float = 0.0  # when it was written, Unix time of the leader's clock
+    trouble: str = ""  # why the last attempt failed
 
 
 class Superseded(Exception):
-    """The journal was written by a later owner."""
+    """A later leader has written the journal."""
 
 
-def resume(found: JournalEntry | None, kind: Job, token: Token, at: float) -> JournalEntry:
-    """The journal as this owner goes on with it, by its own clock.  Raises Superseded."""
+def resume(found: JournalEntry | None, job: Job, token: Token, at: float) -> JournalEntry:
+    """The entry from which this leader continues, by its own clock.  Raises Superseded."""
     if found is None:
-        return JournalEntry(token.term, token.owner, kind.initial_state())
+        return JournalEntry(token.term, token.owner, job.initial_state())
     if found.term > token.term or (found.term == token.term and found.owner != token.owner):
-        raise Superseded(f"job {kind.name}: term {found.term} of {found.owner} has begun")
+        raise Superseded(f"job {job.name}: term {found.term} of {found.owner} has begun")
     if found.owner == token.owner:
         return msgspec.structs.replace(found, term=token.term)
-    state = kind.shift_times(found.state, at - found.at)
+    state = job.shift_times(found.state, at - found.at)
     return msgspec.structs.replace(found, term=token.term, owner=token.owner, state=state, at=at)
 
 
-def begin_step(noted: JournalEntry, step: Step, at: float) -> JournalEntry:
-    """The journal with a step about to be carried out."""
-    return msgspec.structs.replace(noted, begun=step, at=at, trouble="")
+def begin_step(entry: JournalEntry, step: Step, at: float) -> JournalEntry:
+    """The entry with a step that is about to be carried out."""
+    return msgspec.structs.replace(entry, begun=step, at=at, trouble="")
 
 
-def finish_step(noted: JournalEntry, kind: Job, result: dict[str, Any], at: float) -> JournalEntry:
-    """The journal once the step that was begun is done."""
-    assert noted.begun is not None
-    state = kind.state_after(noted.state, noted.begun, result, at)
-    return msgspec.structs.replace(noted, state=state, number=noted.number + 1, begun=None, at=at, trouble="")
+def finish_step(entry: JournalEntry, job: Job, result: dict[str, Any], at: float) -> JournalEntry:
+    """The entry after the step that was begun is done."""
+    assert entry.begun is not None
+    state = job.state_after(entry.state, entry.begun, result, at)
+    return msgspec.structs.replace(entry, state=state, number=entry.number + 1, begun=None, at=at, trouble="")
--- a/stonetrack/controller/publishing.py
+++ b/stonetrack/controller/publishing.py
@@ -1,11 +1,11 @@
-"""Publishing whole lists in order: the documents of a folder, by their numbers, each exactly once.  Pure.
+"""Publishes whole server lists in order: the documents of a folder, by their numbers, each exactly once.  Pure.
 
-What is published is what the operator put into the folder (``0007.json``); a number that is lower than the last one
-published, or that is missing, is never gone back to.  Engines that are away for maintenance stay so whatever the
-document says: they are told as leaving when the effect is carried out.
+The operator puts the lists into the folder (``0007.json``); a document whose number is lower than the last one
+published is never published.  Engines that are absent for maintenance stay so whatever the document contains: they are listed as
+draining when the effect is carried out.
 
-A list service that has lost its state, or was put back to an older one, counts another history or a lower version than
-the one that a list was put into: the last list is then put again, else the fleet would stay without, or on an old one.
+A discovery service that lost its state, or was restored from an older one, has another history or a lower version than
+the one that the last list received: that list is then put again, since nodes would otherwise keep an old list or none.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class PublishJob(WithoutTimes):
-    """See the module."""
+    """Publishes the lists of the operator's folder."""
 
     name = "publishing"
 
--- a/stonetrack/controller/retention.py
+++ b/stonetrack/controller/retention.py
@@ -1,7 +1,7 @@
-"""Retention of captures in a folder that nodes share: within its budget, looked at now and then.  Pure.
+"""Retention of captures in a folder that nodes share: deletes what exceeds its budget at regular intervals.  Pure.
 
-The folder is the receiver: it keeps the highest token it has seen in a file of its own, under a lock, and refuses what
-is older (``captures.Folder``).
+The folder is the receiver: it keeps the highest token seen in a file of its own, under a lock, and refuses older ones
+(:mod:`.captures`).
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class RetentionSettings(Strict, frozen=True):
-    """Its settings; off where ``folder`` is empty."""
+    """Settings of the retention; off where ``folder`` is empty."""
 
     folder: str = ""
     budget_bytes: int = 1 << 30
@@ -21,7 +21,7 @@
 
 
 class RetentionJob(WithoutTimes):
-    """See the module."""
+    """Applies the budget of a capture folder every ``every_s`` seconds."""
 
     name = "keeping"
 
@@ -34,9 +34,9 @@
 
     def next_step(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
         """See ``jobs.Job``."""
-        left = state["at"] + self.settings.every_s - facts.at
-        if 0 < left <= self.settings.every_s:  # a clock that was set back does not stop it
-            return Wait(left)
+        remaining = state["at"] + self.settings.every_s - facts.at
+        if 0 < remaining <= self.settings.every_s:  # after a clock was set back the step is due at once
+            return Wait(remaining)
         return Step("retain", {"folder": self.settings.folder, "budget": self.settings.budget_bytes},
                     "what is deleted is gone; a folder within its budget loses nothing")  # fmt: skip
 
--- a/stonetrack/controller/rollout.py
+++ b/stonetrack/controller/rollout.py
@@ -1,8 +1,8 @@
-"""Versions of the settings out in stages: a share of the nodes first, compared with the rest, on or back.  Pure.
+"""Staged rollout of settings: a share of the nodes first, compared with the rest, then forward or back.  Pure.
 
-The operator puts ``NUMBER.json`` (``{"content", "kind"}``) into a folder; they go out in order, one at a time.  Each
-stage ends by the sequential test of :mod:`stonetrack.control.rollout` on what the nodes report.  Going back publishes
-the content before as one more version; the document that was given up is passed over, and the log says why.
+The operator puts ``NUMBER.json`` (``{"content", "kind"}``) into a folder; they are rolled out in order, one at a time.
+Each stage ends by the sequential test of :mod:`stonetrack.control.rollout` on the reports of the nodes.  A rollback
+publishes the previous content as one more version; the rejected document is skipped, and the log gives the reason.
 """
 
 from __future__ import annotations
@@ -19,34 +19,34 @@
 
 
 class RolloutSettings(Strict, frozen=True):
-    """Its settings; ``stages`` are shares of the nodes, the last one is everybody."""
+    """Settings of rollouts; ``stages`` are shares of the nodes, followed by all nodes."""
 
-    folder: str = ""  # empty: none
+    folder: str = ""  # empty: no rollouts
     stages: tuple[Share, ...] = (0.1, 0.5)
-    least_s: Annotated[float, Meta(ge=0.0, le=86_400.0)] = 30.0  # that a stage stands at the least
-    most_s: Annotated[float, Meta(gt=0.0, le=86_400.0)] = 1_800.0  # unsure for so long goes back
-    loss: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.05  # of service that must be found
+    least_s: Annotated[float, Meta(ge=0.0, le=86_400.0)] = 30.0  # shortest duration of a stage
+    most_s: Annotated[float, Meta(gt=0.0, le=86_400.0)] = 1_800.0  # an undecided stage is rolled back then
+    loss: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.05  # of service that the test must detect
     alarm: Annotated[float, Meta(gt=0.0, lt=0.5)] = 0.03
     miss: Annotated[float, Meta(gt=0.0, lt=0.5)] = 0.03
 
 
 def samples_of(rows: tuple[dict[str, Any], ...], number: int) -> list[NodeSample]:
-    """What the control service tells of each node, as the test takes it.
+    """Convert the control service's rows of nodes to samples of the test.
 
-    Only nodes that do run what they are to run count; one that turned the version down runs the old one and says
-    nothing about it, and one that went silent on it says all."""
-    found = []
+    Only nodes that run the version they are meant to run count, since one that rejected the version runs the old one.
+    A node that fell silent counts as gone."""
+    samples = []
     for row in rows:
         staged = row["wanted"] == number
         gone = row["evidence"] == Evidence.SILENT.value
         if row["runs"] == row["wanted"] or gone:
-            found.append(NodeSample(staged, 0.0, 0.0, silent=True) if gone else NodeSample(
+            samples.append(NodeSample(staged, 0.0, 0.0, silent=True) if gone else NodeSample(
                 staged, row["asked"], row["served"], row["asked_before"], row["served_before"]))  # fmt: skip
-    return found
+    return samples
 
 
 class RolloutJob:
-    """See the module."""
+    """Rolls out the versions of the operator's folder in stages."""
 
     name = "rollout"
 
@@ -60,20 +60,20 @@
     def next_step(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
         """See ``jobs.Job``."""
         if not state["number"]:
-            return self._begun(state, facts)
-        waited = facts.at - state["since"]
-        found = self.verdict(state, facts)
-        match rollout.next_action(found, max(0.0, waited), self.settings.least_s, self.settings.most_s):
+            return self._first_stage(state, facts)
+        elapsed_s = facts.at - state["since"]
+        verdict = self.verdict(state, facts)
+        match rollout.next_action(verdict, max(0.0, elapsed_s), self.settings.least_s, self.settings.most_s):
             case StageAction.ROLL_BACK:
-                why = "it costs service" if found is Verdict.WORSE else "nobody could tell that it does no harm"
+                why = "it costs service" if verdict is Verdict.WORSE else "nobody could tell that it does no harm"
                 return Step("rollback", {"number": state["number"], "why": why},
                             "a version that is not staged any more is not rolled back again")  # fmt: skip
             case StageAction.ADVANCE:
                 return Step("stage", {"number": state["number"], "share": self._share(state["stage"] + 1)},
                             "a share that stands is not set again; it never shrinks")  # fmt: skip
-        return Wait(min(2.0, self.settings.least_s or 2.0), f"stage {state['stage'] + 1}: {found.value}")
+        return Wait(min(2.0, self.settings.least_s or 2.0), f"stage {state['stage'] + 1}: {verdict.value}")
 
-    def _begun(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
+    def _first_stage(self, state: dict[str, Any], facts: Facts) -> Step | Wait:
         for document in facts.versions:
             if document["number"] > state["last"]:
                 return Step("publish", {"file": document["number"], "content": document["content"],
@@ -85,7 +85,7 @@
         return self.settings.stages[stage] if stage < len(self.settings.stages) else 1.0
 
     def verdict(self, state: dict[str, Any], facts: Facts) -> Verdict:
-        """What the nodes' reports say of the version that is staged."""
+        """The result of the test for the staged version, by the reports of the nodes."""
         terms = SprtParameters(self.settings.loss, self.settings.alarm, self.settings.miss)
         return rollout.verdict(samples_of(facts.nodes, state["number"]), terms)
 
--- a/stonetrack/election/model_checker.py
+++ b/stonetrack/election/model_checker.py
@@ -109,7 +109,7 @@
     accepted: tuple[tuple[Token, int], ...]  # of each receiver: token of the last effect accepted, and its step
     restarts: int
     answers_lost: int
-    rollbacks: int
+    rollbacks_done: int
 
 
 def clock(candidate: int, now: int, bounds: Bounds) -> int:
@@ -166,15 +166,15 @@
             after = NO_TOKEN if Omitted.DURABLE in omitted else world.durable[r]
             known = _with(world.known, r, after)
             yield f"receiver {r} restarts", replace(world, known=known, restarts=world.restarts + 1), ""
-    if world.rollbacks < bounds.rollbacks and world.before[0] != world.revision:
+    if world.rollbacks_done < bounds.rollbacks and world.before[0] != world.revision:
         revision, record = world.before
-        following = replace(world, revision=revision, record=record, rollbacks=world.rollbacks + 1)
+        following = replace(world, revision=revision, record=record, rollbacks_done=world.rollbacks_done + 1)
         yield "the register loses its last write", following, ""
 
 
 def _two_leaders(world: World, bounds: Bounds) -> str:
     holding = [n for n, lease in enumerate(world.leases) if lease.holds(clock(n, world.now, bounds))]
-    if len(holding) > 1 and not world.rollbacks:
+    if len(holding) > 1 and not world.rollbacks_done:
         return f"{' and '.join(f's{n}' for n in holding)} hold the lease at one moment"
     return ""
 
