--- a/stonetrack/cli/controller.py
+++ b/stonetrack/cli/controller.py
@@ -1,4 +1,4 @@
-"""Commands of the steward: run one, and look at or change who owns the fleet's work."""
+"""Commands of the controller: run one, and show or change the leader of the fleet's work."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 @click.group()
 def steward() -> None:
-    """Work that is done once for the whole fleet, by one owner at a time."""
+    """Work that is done once for the whole fleet, by one leader at a time."""
 
 
 @contextmanager
-def _plainly(file: Path) -> Iterator[None]:
-    """What can't be done, on standard error and as exit code: 2 for settings, 1 for the register."""
+def _report_errors(file: Path) -> Iterator[None]:
+    """Report errors on standard error and by the exit code: 2 for the settings, 1 for the store."""
     from stonetrack.cas_store.ports import StoreError
     from stonetrack.settings import SettingsError
 
@@ -42,11 +42,11 @@
 
 
 @contextmanager
-def _register(file: Path, var: tuple[str, ...]) -> Iterator[tuple[ControllerSettings, CasStore]]:
+def _open_store(file: Path, var: tuple[str, ...]) -> Iterator[tuple[ControllerSettings, CasStore]]:
     from stonetrack.controller.service import open_store
     from stonetrack.controller.settings import load_controller_settings
 
-    with _plainly(file):
+    with _report_errors(file):
         settings = load_controller_settings(file, parse_variables(var))
         store = open_store(settings)
         try:
@@ -61,26 +61,26 @@
 @PORT
 @LOG
 def run(file: Path, var: tuple[str, ...], port: int | None, log_path: Path | None) -> None:
-    """Be a candidate, and do the work while owner, until TERM; then hand over."""
+    """Run as a candidate, and do the work while leader, until TERM; then hand over."""
     from stonetrack.controller.service import Controller, HttpEndpoint
     from stonetrack.frontend.host import listen
 
     stop = stop_on_signals()
-    with _register(file, var) as (settings, store):
+    with _open_store(file, var) as (settings, store):
         listener = listen(settings.listen.host, settings.listen.port if port is None else port, settings.listen.backlog)
         log = open_log(log_path, settings.log_level)
-        running = Controller(settings, store, log.info)
-        serving = HttpEndpoint(running, listener, log.info)
-        serving.start()
-        running.start()
+        controller = Controller(settings, store, log.info)
+        endpoint = HttpEndpoint(controller, listener, log.info)
+        endpoint.start()
+        controller.start()
         click.echo(f"ready http://{settings.listen.host}:{listener.getsockname()[1]}")
         sys.stdout.flush()
         stop.wait()
-        running.stop()
-        serving.stop()
+        controller.stop()
+        endpoint.stop()
 
 
-def _record(settings: ControllerSettings, store: CasStore) -> Record | None:
+def _read_record(settings: ControllerSettings, store: CasStore) -> Record | None:
     from stonetrack.controller.service import store_key
     from stonetrack.election.lease import Record
 
@@ -92,35 +92,35 @@
 @click.argument("file", type=FILE)
 @VAR
 def who(file: Path, var: tuple[str, ...]) -> None:
-    """Who owns the work by the register, and whether it still renews (two looks, a lease apart at most)."""
-    with _register(file, var) as (settings, store):
-        first = _record(settings, store)
-        if first is None:
+    """Show the leader in the store, and whether it still renews its lease (watches for one lease at most)."""
+    with _open_store(file, var) as (settings, store):
+        record = _read_record(settings, store)
+        if record is None:
             click.echo(f"fleet {settings.fleet}: nobody ever owned it")
             return
         end = time.monotonic() + settings.lease_s
         alive = False
-        while first.owner and not alive and time.monotonic() < end:
+        while record.owner and not alive and time.monotonic() < end:
             time.sleep(min(0.2, settings.lease_s / 10))
-            now = _record(settings, store)
-            alive = now is not None and (now.term, now.beats) != (first.term, first.beats)
-            first = now or first
-        paused = f", paused: {first.paused}" if first.paused else ""
-        if not first.owner:  # from the first look on, or handed over meanwhile
-            click.echo(f"fleet {settings.fleet}: nobody owns it, last term {first.term}{paused}")
+            now = _read_record(settings, store)
+            alive = now is not None and (now.term, now.beats) != (record.term, record.beats)
+            record = now or record
+        paused = f", paused: {record.paused}" if record.paused else ""
+        if not record.owner:  # free at the first read, or handed over meanwhile
+            click.echo(f"fleet {settings.fleet}: nobody owns it, last term {record.term}{paused}")
             return
-        said = "renews" if alive else f"has not renewed for {settings.lease_s:g} s"
-        click.echo(f"fleet {settings.fleet}: {first.owner}, term {first.term}, {said}{paused}")
+        renewal = "renews" if alive else f"has not renewed for {settings.lease_s:g} s"
+        click.echo(f"fleet {settings.fleet}: {record.owner}, term {record.term}, {renewal}{paused}")
 
 
 @steward.command("ls")
 @click.argument("file", type=FILE)
 @VAR
 def ls(file: Path, var: tuple[str, ...]) -> None:
-    """All that the register holds of the fleet, a line a key."""
+    """List the keys of the fleet in the store, a line for each."""
     from stonetrack.controller.service import store_key
 
-    with _register(file, var) as (settings, store):
+    with _open_store(file, var) as (settings, store):
         prefix = store_key(settings.fleet, "")
         for key in store.keys(prefix):
             entry = store.read(key)
@@ -131,40 +131,40 @@
 @click.argument("file", type=FILE)
 @VAR
 def jobs(file: Path, var: tuple[str, ...]) -> None:
-    """Each job's journal: steps done, the one that was begun, its state."""
+    """Show the journal of each job: steps done, the step that was begun, the state."""
     from stonetrack.controller.jobs import JournalEntry
     from stonetrack.controller.service import store_key
 
-    with _register(file, var) as (settings, store):
+    with _open_store(file, var) as (settings, store):
         prefix = store_key(settings.fleet, "job/")
         for key in store.keys(prefix):
-            noted = msgspec.json.decode(store.read(key).value, type=JournalEntry)
-            begun = f", begun: {noted.begun.what}" if noted.begun is not None else ""
+            entry = msgspec.json.decode(store.read(key).value, type=JournalEntry)
+            begun = f", begun: {entry.begun.what}" if entry.begun is not None else ""
             name = key.removeprefix(prefix)
-            click.echo(f"{name}: {noted.number} steps done, term {noted.term} of {noted.owner}{begun}")
-            click.echo(f"  {msgspec.json.encode(noted.state).decode()}")
+            click.echo(f"{name}: {entry.number} steps done, term {entry.term} of {entry.owner}{begun}")
+            click.echo(f"  {msgspec.json.encode(entry.state).decode()}")
 
 
 @steward.command("history")
 @click.argument("file", type=FILE)
 @VAR
 def history(file: Path, var: tuple[str, ...]) -> None:
-    """Who took over when, oldest first."""
+    """List the acquisitions of the lease, oldest first."""
     from stonetrack.controller.service import acquisitions
 
-    with _register(file, var) as (settings, store):
+    with _open_store(file, var) as (settings, store):
         for line in acquisitions(store, settings.fleet)[0]:
             when = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(line.at))
             click.echo(f"{when}Z  term {line.term:<6} {line.owner}")
 
 
 def _change(
-    file: Path, var: tuple[str, ...], change: Callable[[Record], Record], said: Callable[[Record], str]
+    file: Path, var: tuple[str, ...], change: Callable[[Record], Record], describe: Callable[[Record], str]
 ) -> None:
     from stonetrack.controller.service import rewrite_record
 
-    with _register(file, var) as (settings, store):
-        click.echo(f"fleet {settings.fleet}: {said(rewrite_record(store, settings.fleet, change))}")
+    with _open_store(file, var) as (settings, store):
+        click.echo(f"fleet {settings.fleet}: {describe(rewrite_record(store, settings.fleet, change))}")
 
 
 @steward.command("pause")
@@ -172,7 +172,7 @@
 @click.option("--why", required=True, help="Shown by who; a person's words.")
 @VAR
 def pause(file: Path, why: str, var: tuple[str, ...]) -> None:
-    """Let nobody own the work: the owner stops within a beat, its step under way ends."""
+    """Pause the work: the leader stops within a renewal interval, after the step under way."""
     from stonetrack.election.lease import replace_record
 
     _change(file, var, lambda r: replace_record(r, paused=why), lambda r: f"paused: {r.paused}")
@@ -186,7 +186,7 @@
 )  # fmt: skip
 @VAR
 def resume(file: Path, past: int, var: tuple[str, ...]) -> None:
-    """Take a pause back; with --past, also say that a register which went back may be used again."""
+    """End a pause; with --past, also allow the use of a store whose term went back."""
     from stonetrack.election.lease import replace_record
 
     def change(record: Record) -> Record:
@@ -202,7 +202,7 @@
 @click.option("--to", default="*", show_default=True, help="A steward's name; * for any other.")
 @VAR
 def hand_over(file: Path, to: str, var: tuple[str, ...]) -> None:
-    """Ask the owner to hand over within a beat."""
+    """Ask the leader to hand over within a renewal interval."""
     from stonetrack.election.lease import replace_record
 
     _change(file, var, lambda r: replace_record(r, wanted=to), lambda r: f"{r.owner or 'nobody'} is asked to hand over")
--- a/stonetrack/controller/calls.py
+++ b/stonetrack/controller/calls.py
@@ -94,9 +94,8 @@
             return Facts(at, listed.engines, listed.origin, listed.version, self._wanted())
         engines = self._current_lines()
         if job == HealthCheckJob.name:
-            return Facts(
-                at, engines, failing=self._run_checks(engines, wall_time())
-            )  # nodes compare it with their clocks
+            # Nodes compare the times of failures with their own wall clocks.
+            return Facts(at, engines, failing=self._run_checks(engines, wall_time()))
         return Facts(at, engines, service=self._served_share())
 
     def _run_checks(self, engines: tuple[dict[str, Any], ...], at: float) -> dict[str, float | None]:
@@ -116,7 +115,7 @@
             return False
 
     def _current_lines(self) -> tuple[dict[str, Any], ...]:
-        """The list service's lines.  Raises OSError, NoList among them."""
+        """The lines of the present list.  Raises NoList and other OSErrors."""
         listed = self._listed()
         if listed.version < 0:
             raise NoList("list service: no list was given yet")
--- a/stonetrack/controller/publishing.py
+++ b/stonetrack/controller/publishing.py
@@ -1,8 +1,8 @@
 """Publishes whole server lists in order: the documents of a folder, by their numbers, each exactly once.  Pure.
 
 The operator puts the lists into the folder (``0007.json``); a document whose number is lower than the last one
-published is never published.  Engines that are absent for maintenance stay so whatever the document contains: they are listed as
-draining when the effect is carried out.
+published is never published.  Engines that are absent for maintenance stay so whatever the document contains: they are
+listed as draining when the effect is carried out.
 
 A discovery service that lost its state, or was restored from an older one, has another history or a lower version than
 the one that the last list received: that list is then put again, since nodes would otherwise keep an old list or none.
--- a/stonetrack/discovery/__init__.py
+++ b/stonetrack/discovery/__init__.py
@@ -1,7 +1,7 @@
-"""The list service as a program: which engines there are, told to all nodes, in versions that never count anew.
+"""The discovery service: serves the server list to all nodes, in versions that never repeat.
 
-:mod:`.history` keeps versions and what changed between them, :mod:`.turns` decides who is answered when and who is
-sent away, :mod:`.keeping` the file that outlives a restart, :mod:`.service` the sockets.  Inputs: lists (a watched
-file, or put).  Outputs: whole lists, changes, and moments to come again.
-Must not depend on: the router, or engines.
+:mod:`.history` keeps versions and the changes between them, :mod:`.admission` decides which node is answered when and
+which is rejected, :mod:`.state_file` is the file that survives a restart, :mod:`.service` holds the sockets.  Inputs:
+lists (a watched file, or PUT).  Outputs: full lists, changes, and times to retry.  Must not depend on: the router, or
+engines.
 """
--- a/stonetrack/discovery/admission.py
+++ b/stonetrack/discovery/admission.py
@@ -1,14 +1,14 @@
-"""Who is answered when, and who is sent away: a list service that is asked by a whole fleet at once.  No I/O.
+"""Admission control of a discovery service that a whole fleet queries at once: which node is answered when.  No I/O.
 
-Documents leave at the pace that the service bears, one after another (``per_second`` whole lists; changes cost what
-their size is of a whole one).  Who comes while others wait gets the next free moment, unless the wait would be longer
-than ``most`` whole lists take: then it is told when to come again.  That moment is past all that wait, and past all
-that were told a moment before it, so that those sent away come back one after another and are served then: a service
-that tells all of them the same second calls the next crowd.
+Documents are sent one after another at the configured rate (``per_second`` full lists; a document of changes costs its
+share of a full list's size).  A request that arrives while others wait gets the next free time, unless it would wait
+longer than ``most`` full lists take: then it is rejected with a time to retry.  That time is after all queued requests
+and after all retry times given before, so that rejected nodes return one after another and are served then; the same
+second for all of them would cause the next overload.
 
-A node has one place at a time.  Its second question while the first waits goes behind everybody else's, and a third is
-turned away, so that a node that asks in a loop takes no other's place.  Who would have waited for news (a long poll)
-can wait for its turn as well: only the others are sent away when the queue is long.
+The queue is fair between nodes: a node's second request waits behind all other nodes', and a third one is rejected, so
+that a node that asks in a loop takes no capacity from others.  A long poll can also wait for its turn (``patience``):
+only the others are rejected when the queue is long.
 """
 
 from __future__ import annotations
@@ -17,60 +17,60 @@
 from dataclasses import dataclass
 
 SECOND = 1_000_000_000
-LEAST_COST = 0.02  # of a whole list: no answer is cheaper, however short
-PLACES = 2  # of one node
+MIN_COST = 0.02  # of a full list: the cost of the shortest answer
+MAX_PER_NODE = 2  # queued requests
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """Answer at this time (nanoseconds)."""
+    """Answer the request at this time, in nanoseconds."""
 
     send_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLater:
-    """Turned away; seconds until there is room, at least 1."""
+    """The request is rejected; it may be repeated after this many seconds, at least 1."""
 
     retry_after_s: int
 
 
 class AdmissionQueue:
-    """See the module."""
+    """Schedules answers of a discovery service at a limited rate."""
 
     def __init__(self, per_second: float, most: float) -> None:
-        self._each = SECOND / per_second  # nanoseconds of a whole list
-        self._most = int(most * self._each)
-        self._apart = int(SECOND / most)  # no more are told the same second than may wait
-        self._free = 0  # when the last one given a turn has been served
-        self._told = 0  # the last moment that somebody was told to come at
-        self._places: Counter[str] = Counter()
+        self._list_duration = SECOND / per_second  # nanoseconds for a full list
+        self._max_wait = int(most * self._list_duration)
+        self._retry_spacing = int(SECOND / most)  # no more requests get the same retry second than may wait
+        self._free_at = 0  # when the last admitted request will have been served
+        self._last_retry = 0  # the latest retry time given
+        self._queued: Counter[str] = Counter()
         self.rejected = 0
 
     def admit(self, now: int, node: str, cost: float, patience: int = 0) -> Admitted | RetryLater:
-        """A turn for an answer that costs so much of a whole list; ``patience`` is how much longer than ``most`` it may
+        """Schedule an answer that costs this share of a full list; ``patience`` is how much longer than ``most`` it may
         wait, in nanoseconds.
 
-        :meth:`done` must be called for every turn given.
+        :meth:`done` must be called for every admitted request.
         """
-        took = int(max(cost, LEAST_COST) * self._each)
-        at = max(now, self._free)
-        places = self._places[node] if node else 0
-        if places >= PLACES or at - now > self._most + patience - places * self._most // PLACES:
-            return self._come_again(now, took)
-        self._free = at + took
+        duration = int(max(cost, MIN_COST) * self._list_duration)
+        at = max(now, self._free_at)
+        queued = self._queued[node] if node else 0
+        if queued >= MAX_PER_NODE or at - now > self._max_wait + patience - queued * self._max_wait // MAX_PER_NODE:
+            return self._reject(now, duration)
+        self._free_at = at + duration
         if node:
-            self._places[node] += 1
+            self._queued[node] += 1
         return Admitted(at)
 
     def done(self, node: str) -> None:
-        """The answer is out, or its node has gone."""
+        """The answer was sent, or its client has disconnected."""
         if node:
-            self._places[node] -= 1
-            if self._places[node] <= 0:
-                del self._places[node]
+            self._queued[node] -= 1
+            if self._queued[node] <= 0:
+                del self._queued[node]
 
-    def _come_again(self, now: int, took: int) -> RetryLater:
+    def _reject(self, now: int, duration: int) -> RetryLater:
         self.rejected += 1
-        self._told = max(self._told, self._free, now) + max(took, self._apart)
-        return RetryLater(max(1, -(-(self._told - now) // SECOND)))
+        self._last_retry = max(self._last_retry, self._free_at, now) + max(duration, self._retry_spacing)
+        return RetryLater(max(1, -(-(self._last_retry - now) // SECOND)))
--- a/stonetrack/discovery/settings.py
+++ b/stonetrack/discovery/settings.py
@@ -1,4 +1,4 @@
-"""The list service's settings: a Jsonnet file, checked like the node's."""
+"""Settings of the discovery service: a Jsonnet file, checked like the node's."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class DiscoverySettings(Strict, frozen=True, kw_only=True):
-    """All settings of one list service."""
+    """All settings of one discovery service."""
 
     listen: Listen = Listen(port=7000)
-    state_dir: str  # where version and list are kept for a restart
-    file: str = ""  # a watched file that says which engines there are; empty: they are put
+    state_dir: str  # version and list are stored here for a restart
+    file: str = ""  # a watched file with the engines; empty: lists are put
     poll_ms: Annotated[int, Meta(ge=10, le=600_000)] = 200
-    may_put: bool = False  # take lists by PUT and PATCH: whoever reaches the port then says where prompts go
-    lists_per_second: Annotated[float, Meta(gt=0.0, le=1e6)] = 50.0  # whole lists that go out at most
-    waiting: Annotated[float, Meta(ge=1.0, le=1e6)] = 100.0  # whole lists' time that may wait; beyond it, 503
-    versions: Annotated[int, Meta(ge=1, le=1_000_000)] = 1_000  # of which the changes are remembered
+    may_put: bool = False  # accept PUT and PATCH: whoever reaches the port then decides where prompts go
+    lists_per_second: Annotated[float, Meta(gt=0.0, le=1e6)] = 50.0  # highest rate of full lists sent
+    waiting: Annotated[float, Meta(ge=1.0, le=1e6)] = 100.0  # longest queue, in full lists; beyond it, 503
+    versions: Annotated[int, Meta(ge=1, le=1_000_000)] = 1_000  # whose changes are remembered
     longest_wait_ms: Annotated[int, Meta(ge=0, le=600_000)] = 60_000
     limits: Limits = Limits(body_bytes=64 << 20, socket_send_bytes=0)
     timing: Timing = Timing(drain_ms=3_000)
@@ -31,7 +31,7 @@
 
 def load_discovery_settings(path: Path, variables: dict[str, str] | None = None) -> DiscoverySettings:
     """Evaluate and check a file.  Raises SettingsError naming path, value and what is allowed."""
-    made = decode(evaluate(path, variables), DiscoverySettings, str(path))
-    if bool(made.file) == made.may_put:
-        raise SettingsError([Problem("$.file", made.file, "either a file, or may_put: true")], str(path))
-    return made
+    settings = decode(evaluate(path, variables), DiscoverySettings, str(path))
+    if bool(settings.file) == settings.may_put:
+        raise SettingsError([Problem("$.file", settings.file, "either a file, or may_put: true")], str(path))
+    return settings
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -202,7 +202,7 @@
         heard: list[Any] = []
         poll = threading.Thread(target=lambda: heard.append(ask(port, f"{at}&wait_ms=8000")))
         poll.start()
-        assert wait_for(lambda: made.answers["unchanged"] == 1 and len(made._waiting) == 1)
+        assert wait_for(lambda: made.answers["unchanged"] == 1 and len(made._long_polls) == 1)
         assert put(port, [line("b", state="removed"), line("c")], "PATCH")[0] == 200
         poll.join(5.0)
         document = heard[0][1]
@@ -244,7 +244,7 @@
 
 
 def made_waits(made: Service) -> bool:
-    return len(made._waiting) == 1
+    return len(made._long_polls) == 1
 
 
 def test_a_service_that_was_given_no_list_tells_none_and_who_waits_hears_the_first(tmp_path: Path) -> None:
@@ -308,7 +308,7 @@
         heard: list[Any] = []
         poll = threading.Thread(target=lambda: heard.append(ask(port, f"{at}&wait_ms=20000")[0].status))
         poll.start()
-        assert wait_for(lambda: len(made._waiting) == 1)
+        assert wait_for(lambda: len(made._long_polls) == 1)
         began = time.monotonic()
         made.drain()
         poll.join(5.0)
