--- a/benchmarks/shutout.py
+++ b/benchmarks/shutout.py
@@ -1,4 +1,4 @@
-"""Every history of a shut-out within its bounds, and a shortest one for each protection that is left out.
+"""Explore all histories of fencing within bounds, and a shortest violation for each safeguard that is removed.
 
 .venv/bin/python -m benchmarks.shutout [--states 3000000]
 """
@@ -10,39 +10,41 @@
 
 import click
 
-from stonetrack.control.explore import Bounds, Less, explore
+from stonetrack.control.explore import Bounds, RemovedSafeguard, explore
 from stonetrack.election.search import Found
 
 CASES = [
-    ("two nodes", Bounds(restarts=0, given_up=0), Less.NOTHING),
-    ("two nodes, a restart", Bounds(given_up=0), Less.NOTHING),
-    ("two nodes, a question given up", Bounds(restarts=0), Less.NOTHING),
-    ("two nodes, both", Bounds(), Less.NOTHING),
-    ("without who has yet to hear", Bounds(given_up=0), Less.HELD),
-    ("without the echo", Bounds(restarts=0), Less.ECHO),
-    ("without the version that lifts it", Bounds(restarts=0, given_up=0), Less.LIFTED),
-    ("without the disk, three nodes", Bounds(nodes=3, given_up=0), Less.KEPT),
+    ("two nodes", Bounds(restarts=0, abandoned=0), RemovedSafeguard.NONE),
+    ("two nodes, a restart", Bounds(abandoned=0), RemovedSafeguard.NONE),
+    ("two nodes, an abandoned report", Bounds(restarts=0), RemovedSafeguard.NONE),
+    ("two nodes, both", Bounds(), RemovedSafeguard.NONE),
+    ("without nodes that may still be fenced", Bounds(abandoned=0), RemovedSafeguard.MAY_BE_FENCED),
+    ("without the acknowledged order", Bounds(restarts=0), RemovedSafeguard.ACKNOWLEDGED_ORDER),
+    ("without the lifting version", Bounds(restarts=0, abandoned=0), RemovedSafeguard.LIFTING_VERSION),
+    ("without stored orders, three nodes", Bounds(nodes=3, abandoned=0), RemovedSafeguard.STORED_ORDERS),
 ]
 
 
-def one(case: tuple[Bounds, Less]) -> tuple[Found, float]:
-    """What came of a case, and the seconds that it took."""
-    began = time.monotonic()
-    return explore(*case), time.monotonic() - began
+def run_case(case: tuple[Bounds, RemovedSafeguard]) -> tuple[Found, float]:
+    """Return the result of a case and its duration in seconds."""
+    started = time.monotonic()
+    return explore(*case), time.monotonic() - started
 
 
 @click.command()
 @click.option("--states", default=3_000_000)
 @click.option("--cores", default=8)
 def main(states: int, cores: int) -> None:
-    """See the module."""
-    cases = [(Bounds(b.nodes, b.restarts, b.given_up, b.publishes, states), less) for _, b, less in CASES]
+    """Explore each case in a process of its own and print the results."""
+    cases = [(Bounds(b.nodes, b.restarts, b.abandoned, b.publishes, states), removed) for _, b, removed in CASES]
     with ProcessPoolExecutor(cores) as pool:
-        for (name, *_), (found, took) in zip(CASES, pool.map(one, cases), strict=True):
-            whole = "all" if found.whole else "not all"
-            click.echo(f"{name}: {found.states} states ({whole}) in {took:.0f} s, broken: {found.broken or 'none'}")
-            for n, said in enumerate(found.history, 1):
-                click.echo(f"  {n}. {said}")
+        for (name, *_), (found, seconds) in zip(CASES, pool.map(run_case, cases), strict=True):
+            complete = "all" if found.whole else "not all"
+            click.echo(
+                f"{name}: {found.states} states ({complete}) in {seconds:.0f} s, broken: {found.broken or 'none'}"
+            )
+            for n, label in enumerate(found.history, 1):
+                click.echo(f"  {n}. {label}")
 
 
 if __name__ == "__main__":
--- a/stonetrack/cli/control.py
+++ b/stonetrack/cli/control.py
@@ -1,4 +1,4 @@
-"""Commands of the control service: run it, publish, stage, roll back, and see who runs what."""
+"""Commands of the control service: run it, publish, stage and roll back versions, and list nodes and versions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @click.group()
 def control() -> None:
-    """Numbered versions of the settings for a whole fleet, and who runs which."""
+    """Numbered versions of the settings for a whole fleet, and which node runs which."""
 
 
 @control.command("run")
@@ -34,7 +34,7 @@
 
 
 def _call(at: str, method: str, path: str, body: Any = None) -> Any:
-    """The answer, or an end with exit code 1 and what the service said."""
+    """Return the service's answer, or print its error and exit with code 1."""
     from stonetrack.control.client import ControlError, call
 
     try:
@@ -49,16 +49,16 @@
 @click.argument("file", type=FILE)
 @VAR
 @click.option("--kind", type=click.Choice(["rule", "weight"]), default="rule", show_default=True)
-@click.option("--share", type=click.FloatRange(0.0, 1.0), default=1.0, help="Of the nodes that run it first.")
+@click.option("--share", type=click.FloatRange(0.0, 1.0), default=1.0, help="Share of the nodes that run it first.")
 def publish(at: str, file: Path, var: tuple[str, ...], kind: str, share: float) -> None:
-    """One more version: what FILE (Jsonnet) says replaces those parts of each node's own settings."""
+    """Publish a version: the content of FILE (Jsonnet) replaces those parts of each node's own settings."""
     try:
         content = msgspec.json.decode(evaluate(file, parse_variables(var)))
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
-    told = _call(at, "PUT", "/settings", {"content": content, "kind": kind, "share": share})
-    click.echo(f"version {told['number']}" + (f", staged for {share:g} of the nodes" if told["staged"] else ""))
+    reply = _call(at, "PUT", "/settings", {"content": content, "kind": kind, "share": share})
+    click.echo(f"version {reply['number']}" + (f", staged for {share:g} of the nodes" if reply["staged"] else ""))
 
 
 @control.command("stage")
@@ -66,44 +66,46 @@
 @click.argument("number", type=int)
 @click.argument("share", type=click.FloatRange(0.0, 1.0))
 def stage(at: str, number: int, share: float) -> None:
-    """A staged version goes on to a larger share; at 1 it is everybody's."""
-    told = _call(at, "POST", "/stage", {"number": number, "share": share})
-    click.echo(f"base {told['base']}, staged {told['staged'] or 'none'}")
+    """Extend a staged version to a larger share of the nodes; 1 is all nodes."""
+    reply = _call(at, "POST", "/stage", {"number": number, "share": share})
+    click.echo(f"base {reply['base']}, staged {reply['staged'] or 'none'}")
 
 
 @control.command("rollback")
 @AT
 @click.argument("number", type=int)
 def rollback(at: str, number: int) -> None:
-    """A staged version is given up; the content before is published anew, to all."""
-    told = _call(at, "POST", "/rollback", {"number": number})
-    click.echo(f"version {told['number']} is everybody's")
+    """Drop a staged version and publish the previous content to all nodes as a new version."""
+    reply = _call(at, "POST", "/rollback", {"number": number})
+    click.echo(f"version {reply['number']} is for all nodes")
 
 
 @control.command("nodes")
 @AT
-@click.option("--lagging", is_flag=True, help="Only those that do not run what they are to run; exit code 1 for any.")
+@click.option(
+    "--lagging", is_flag=True, help="Only nodes that do not run their desired version; exit code 1 if there are any."
+)
 def nodes(at: str, lagging: bool) -> None:
-    """Who runs which version, and what is known of those that lag."""
+    """List the nodes with their versions, and what is known of those that lag."""
     from stonetrack.control.stale_nodes import Evidence
 
-    fine = Evidence.CURRENT.value
-    rows = [row for row in _call(at, "GET", "/nodes") if not lagging or row["evidence"] != fine]
+    current = Evidence.CURRENT.value
+    rows = [row for row in _call(at, "GET", "/nodes") if not lagging or row["evidence"] != current]
     for row in rows:
-        more = f", {row['why']}" if row["why"] else ""
-        out = ", shut out" if row["out"] else ""
-        click.echo(f"{row['name']:<20} runs {row['runs']} of {row['wanted']}: {row['evidence']}{out}; "
-                   f"heard {row['heard_s']:.1f} s ago{more}")  # fmt: skip
+        reason = f", {row['why']}" if row["why"] else ""
+        fenced = ", fenced" if row["out"] else ""
+        click.echo(f"{row['name']:<20} runs {row['runs']} of {row['wanted']}: {row['evidence']}{fenced}; "
+                   f"heard {row['heard_s']:.1f} s ago{reason}")  # fmt: skip
     sys.exit(1 if lagging and rows else 0)
 
 
 @control.command("versions")
 @AT
 def versions(at: str) -> None:
-    """The versions that are remembered."""
-    told = _call(at, "GET", "/versions")
-    for each in told["documents"]:
-        marks = ["everybody's"] if told["base"] == each["number"] else []
-        marks += [f"staged for {told['share']:g}"] if told["candidate"] == each["number"] != 0 else []
-        click.echo(f"{each['number']:>5}  {each['kind']:<7} {each['digest'] or '-':<17} "
-                   f"{each['owner'] or 'by hand':<24} {', '.join(marks)}")  # fmt: skip
+    """List the stored versions."""
+    reply = _call(at, "GET", "/versions")
+    for document in reply["documents"]:
+        marks = ["all nodes"] if reply["base"] == document["number"] else []
+        marks += [f"staged for {reply['share']:g}"] if reply["candidate"] == document["number"] != 0 else []
+        click.echo(f"{document['number']:>5}  {document['kind']:<7} {document['digest'] or '-':<17} "
+                   f"{document['owner'] or 'by hand':<24} {', '.join(marks)}")  # fmt: skip
--- a/stonetrack/control/client.py
+++ b/stonetrack/control/client.py
@@ -1,4 +1,4 @@
-"""Calls to a control service, by people and by stewards."""
+"""Client of a control service, for the command line, nodes and controllers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ControlError(OSError):
-    """A call that was not carried out; ``known`` is the latest owner there, for one whose term is over."""
+    """A failed or refused call; ``known`` is the service's latest leader, for a caller whose term is over."""
 
     def __init__(self, text: str, known: Token = NOBODY) -> None:
         super().__init__(text)
@@ -24,7 +24,7 @@
 def call(
     address: str, method: str, path: str, body: Any = None, token: Token | None = None, timeout_s: float = 10.0
 ) -> Any:
-    """What the service answers; ``address`` is ``host:port`` or its URL.  Raises ControlError."""
+    """Return the decoded answer of the service; ``address`` is ``host:port`` or its URL.  Raises ControlError."""
     found = split_address(address.removeprefix("http://").rstrip("/"))
     if found is None:
         raise ControlError(f"{address!r}: host:port is allowed")
@@ -35,10 +35,10 @@
     data = msgspec.json.encode(body) if body is not None else b""
     try:
         status, answer = calls.call(host, port, writer.request(method, path, headers, data), timeout_s)
-        told = msgspec.json.decode(answer)
+        reply = msgspec.json.decode(answer)
     except (CallFailed, msgspec.DecodeError) as error:
         raise ControlError(f"{address}: {error}") from None
     if status != 200:
-        known = msgspec.convert(told["known"], Token) if "known" in told else NOBODY
-        raise ControlError(f"{address}: {told.get('error', status)}", known)
-    return told
+        known = msgspec.convert(reply["known"], Token) if "known" in reply else NOBODY
+        raise ControlError(f"{address}: {reply.get('error', status)}", known)
+    return reply
--- a/stonetrack/control/documents.py
+++ b/stonetrack/control/documents.py
@@ -1,8 +1,8 @@
-"""A numbered version of the settings: what it says, its digest, and whose it is.  No I/O.
+"""A numbered version of the settings: its content, its digest and its publisher.  No I/O.
 
-A document replaces parts of a node's own settings, block by block; what makes a node itself (its name, where it
-listens, where it keeps things, whom it follows) is never in one.  The digest is of the content alone, so that the
-same content published twice is told apart by number and recognised as the same.
+A document replaces parts of a node's own settings, block by block; what identifies a node (its name, listen address,
+folders, the services that it follows) is never in one.  The digest covers the content alone, so that content published
+twice has two numbers and one digest.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 import msgspec
 
-LOCAL = ("audit", "capture", "control", "listen", "log_level", "name", "source", "state_dir")
-KINDS = ("rule", "weight")  # a rule must be everywhere within seconds; a weight may take its time
+LOCAL_KEYS = ("audit", "capture", "control", "listen", "log_level", "name", "source", "state_dir")
+CHANGE_KINDS = ("rule", "weight")  # a rule must reach every node within seconds; a weight may take minutes
 
 
 class Document(msgspec.Struct, frozen=True):
-    """One version; ``term`` and ``owner`` are of whoever published it, 0 and empty in a fleet without a steward."""
+    """One version; ``term`` and ``owner`` are its publisher's, 0 and empty in a fleet without a controller."""
 
     number: int
     content: dict[str, Any]
@@ -28,26 +28,26 @@
     owner: str = ""
 
 
-NO_VERSION = Document(0, {})  # what a node runs that was never told of a version
+NO_VERSION = Document(0, {})  # runs on a node that has received no version
 
 
 def content_digest(content: Mapping[str, Any]) -> str:
-    """Tells contents apart, whatever the order of their fields."""
+    """Return a digest that does not depend on the order of the fields."""
     return blake2b(msgspec.json.encode(content, order="sorted"), digest_size=8).hexdigest()
 
 
-def made(number: int, content: dict[str, Any], kind: str, term: int = 0, owner: str = "") -> Document:
-    """A document with its digest."""
+def make_document(number: int, content: dict[str, Any], kind: str, term: int = 0, owner: str = "") -> Document:
+    """Return a document with its digest."""
     return Document(number, content, kind, content_digest(content), term, owner)
 
 
 def problem(document: Document) -> str:
-    """Why nobody could take it, whatever the node; empty where nothing is wrong in itself."""
-    if document.kind not in KINDS:
-        return f"kind: found {document.kind!r}; allowed: {', '.join(KINDS)}"
+    """Return why no node can install the document; empty where it is valid in itself."""
+    if document.kind not in CHANGE_KINDS:
+        return f"kind: found {document.kind!r}; allowed: {', '.join(CHANGE_KINDS)}"
     if document.digest != content_digest(document.content):
         return f"version {document.number}: the content is not that of digest {document.digest}"
-    own = sorted(set(document.content) & set(LOCAL))
+    own = sorted(set(document.content) & set(LOCAL_KEYS))
     if own:
         return f"version {document.number}: {', '.join(own)}: a node's own; not allowed in a version"
     return ""
--- a/stonetrack/control/explore.py
+++ b/stonetrack/control/explore.py
@@ -1,17 +1,17 @@
-"""Every history of a shut-out, explored: the machines that run (:mod:`.stale_nodes`, :mod:`.follow`), in a small world.
+"""Exhaustive exploration of fencing: the state machines of :mod:`.stale_nodes` and :mod:`.follower` in a small world.
 
-A few nodes, of which one may be shut out at a time, and a service that decides about them, may be started anew and
-publishes one more version.  Questions and answers take any time; one that a node gave up may still reach the service
-later, when the node has asked again; a node may take a version, or not.  Breadth first, so that the first history that
-breaks a promise is a shortest one.  Times are kept as ages and questions by their order alone, so that the world is
-finite however long it lasts.
+The world has a few nodes, of which at most one may be fenced at a time, and a service that decides about them, may
+restart and publishes one more version.  Reports and answers take any time; a report that its node has abandoned may
+still reach the service after the node has sent the next one; a node may or may not install a version.  The search is
+breadth first, so the first history that violates a property is a shortest one.  Times are kept as ages and orders as
+relative numbers, which makes the world finite however long it runs.
 
-Promises:
+Properties:
 
-1. never more nodes refuse requests because they were shut out than may;
-2. a node that runs the version which lifts its shut-out takes requests, whoever can be reached.
+1. the number of nodes that refuse requests because they are fenced never exceeds the limit;
+2. a node that runs the version that lifts its fence takes requests, whatever it can reach.
 
-:class:`Less` takes one protection away, to show that the exploration finds what it is for.
+:class:`RemovedSafeguard` removes one safeguard, to show that the exploration finds the violation that it prevents.
 """
 
 from __future__ import annotations
@@ -21,115 +21,117 @@
 from enum import Enum, auto
 
 from stonetrack.control.follower import Lease
-from stonetrack.control.stale_nodes import Node, Order, Rules, orders
+from stonetrack.control.stale_nodes import Node, Order, Rules, decide_orders
 from stonetrack.election.search import Found, search
 
 NAMES = ("a", "b", "c")
-RULES = Rules(grace={"rule": 1}, bound={"rule": 1}, silent=3, restart_pause=100, restarts=0, most_out=0.5,
-              bad_share=2.0, flaps=100)  # fmt: skip
-MOST = 1
+RULES = Rules(grace={"rule": 1}, fence_after={"rule": 1}, silent_after=3, restart_pause=100, max_restarts=0,
+              max_fenced_share=0.5, bad_version_share=2.0, max_starts=100)  # fmt: skip
+MAX_FENCED = 1
 
 
-class Less(Enum):
-    """What is left out."""
+class RemovedSafeguard(Enum):
+    """The safeguard that is left out."""
 
-    NOTHING = auto()
-    HELD = auto()  # orders alone are counted, not who has yet to hear that his was lifted
-    KEPT = auto()  # a service that is started anew does not know whom it ordered out
-    ECHO = auto()  # a node that says that it is not out is believed, whatever it has heard
-    LIFTED = auto()  # an order does not name the version that lifts it
+    NONE = auto()
+    MAY_BE_FENCED = auto()  # only orders are counted, not nodes that have yet to receive the lifting of their fence
+    STORED_ORDERS = auto()  # a restarted service does not know which nodes it fenced
+    ACKNOWLEDGED_ORDER = auto()  # a node that reports that it is not fenced is believed, whatever order it received
+    LIFTING_VERSION = auto()  # an order does not name the version that lifts the fence
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How large the world is."""
+    """Size of the world."""
 
     nodes: int = 2
     restarts: int = 1  # of the service
-    given_up: int = 1  # questions that a node gave up
+    abandoned: int = 1  # reports whose answer the node stopped waiting for
     publishes: int = 1
     states: int = 2_000_000
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """A question: on its way, waiting at the service, or answered."""
+class PendingReport:
+    """A report: on its way, waiting at the service, or answered."""
 
     running: int
-    out: bool
-    order: int  # the last one heard
-    there: bool = False
-    answer: tuple[int, int] | None = None  # the order, and the version that is to be run
+    fenced: bool
+    order: int  # number of the last order received
+    arrived: bool = False
+    answer: tuple[int, int] | None = None  # order number and desired version
 
 
 @dataclass(frozen=True, slots=True)
-class At:
-    """A node."""
+class NodeState:
+    """A node's own state."""
 
     running: int = 1
-    permit: Lease = Lease()
-    asked: Asked | None = None
+    lease: Lease = Lease()
+    report: PendingReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class World:
-    """One state."""
+    """One state of the nodes, the service and the reports under way."""
 
-    wanted: int
-    nodes: tuple[At, ...]
+    desired: int
+    nodes: tuple[NodeState, ...]
     known: tuple[Node | None, ...]  # by the service
-    kept: tuple[int, ...]  # on its disk: the last order given to each
-    late: tuple[tuple[int, Asked], ...]  # questions that their node gave up and that may still come
+    stored: tuple[int, ...]  # on the service's disk: the last order number of each node
+    late: tuple[tuple[int, PendingReport], ...]  # abandoned reports that may still arrive, by node
     restarts: int = 0
-    given_up: int = 0
+    abandoned: int = 0
 
 
-def explore(bounds: Bounds, less: Less = Less.NOTHING) -> Found:
-    """See the module."""
-    first = World(1, (At(),) * bounds.nodes, (None,) * bounds.nodes, (0,) * bounds.nodes, ())
+def explore(bounds: Bounds, removed: RemovedSafeguard = RemovedSafeguard.NONE) -> Found:
+    """Search all histories within the bounds for a violated property."""
+    first = World(1, (NodeState(),) * bounds.nodes, (None,) * bounds.nodes, (0,) * bounds.nodes, ())
 
     def steps(world: World) -> Iterator[tuple[str, World, str]]:
-        for said, then in _next(world, bounds, less):
-            yield said, then, _broken(then)
+        for label, after in _next(world, bounds, removed):
+            yield label, after, _violation(after)
 
-    return search(first, steps, _plain, bounds.states)
+    return search(first, steps, _normalized, bounds.states)
 
 
-def _plain(world: World) -> World:
-    """Without what tells states apart that behave alike: times past what is asked of them, numbers of orders."""
+def _normalized(world: World) -> World:
+    """Return the world without differences that have no effect: ages past all limits, absolute order numbers."""
     known: list[Node | None] = []
-    nodes, late, kept = list(world.nodes), list(world.late), list(world.kept)
+    nodes, late, stored = list(world.nodes), list(world.late), list(world.stored)
     for n, (node, service) in enumerate(zip(world.nodes, world.known, strict=True)):
-        lowest = _lowest(world, n, node, service)  # as many orders that nobody remembers, in pairs, need no numbers
-        asked = node.asked
-        if asked is not None:
-            answer = (asked.answer[0] - lowest, asked.answer[1]) if asked.answer is not None else None
-            asked = replace(asked, order=asked.order - lowest, answer=answer)
-        nodes[n] = replace(node, permit=replace(node.permit, order=node.permit.order - lowest), asked=asked)
-        late = [(of, replace(a, order=a.order - lowest) if of == n else a) for of, a in late]
-        kept[n] -= lowest
+        lowest = _lowest(world, n, node, service)  # pairs of orders that nothing refers to any longer are left out
+        report = node.report
+        if report is not None:
+            answer = (report.answer[0] - lowest, report.answer[1]) if report.answer is not None else None
+            report = replace(report, order=report.order - lowest, answer=answer)
+        nodes[n] = replace(node, lease=replace(node.lease, order=node.lease.order - lowest), report=report)
+        late = [(of, replace(r, order=r.order - lowest) if of == n else r) for of, r in late]
+        stored[n] -= lowest
         known.append(service and replace(
-            service, heard=max(service.heard, -RULES.silent - 1), since=max(service.since, -RULES.bound["rule"]),
-            starts=(), most=service.running, order=service.order - lowest, echo=service.echo - lowest))  # fmt: skip
+            service, last_report=max(service.last_report, -RULES.silent_after - 1),
+            desired_since=max(service.desired_since, -RULES.fence_after["rule"]), starts=(),
+            highest_running=service.running, fence_order=service.fence_order - lowest,
+            acknowledged_order=service.acknowledged_order - lowest))  # fmt: skip
     late.sort(key=lambda each: (each[0], each[1].order, each[1].running))
-    return replace(world, nodes=tuple(nodes), known=tuple(known), late=tuple(late), kept=tuple(kept))
+    return replace(world, nodes=tuple(nodes), known=tuple(known), late=tuple(late), stored=tuple(stored))
 
 
-def _lowest(world: World, n: int, node: At, service: Node | None) -> int:
-    """The lowest even number of an order that still stands anywhere."""
-    orders_of = [node.permit.order, world.kept[n], *(asked.order for of, asked in world.late if of == n)]
-    orders_of += [service.order, service.echo] if service is not None else []
-    if node.asked is not None:
-        orders_of += [node.asked.order, *([node.asked.answer[0]] if node.asked.answer is not None else [])]
-    return min(orders_of) // 2 * 2
+def _lowest(world: World, n: int, node: NodeState, service: Node | None) -> int:
+    """Return the highest even number up to the lowest order number of the node that anything still refers to."""
+    numbers = [node.lease.order, world.stored[n], *(report.order for of, report in world.late if of == n)]
+    numbers += [service.fence_order, service.acknowledged_order] if service is not None else []
+    if node.report is not None:
+        numbers += [node.report.order, *([node.report.answer[0]] if node.report.answer is not None else [])]
+    return min(numbers) // 2 * 2
 
 
-def _broken(world: World) -> str:
-    out = [name for name, node in zip(NAMES, world.nodes, strict=False) if node.permit.is_fenced(node.running)]
-    if len(out) > MOST:
-        return f"{' and '.join(out)} are out at one time, {MOST} may be"
+def _violation(world: World) -> str:
+    fenced = [name for name, node in zip(NAMES, world.nodes, strict=False) if node.lease.is_fenced(node.running)]
+    if len(fenced) > MAX_FENCED:
+        return f"{' and '.join(fenced)} are fenced at one time, the limit is {MAX_FENCED}"
     for name, node in zip(NAMES, world.nodes, strict=False):
-        if node.running >= world.wanted and node.permit.is_fenced(node.running):
+        if node.running >= world.desired and node.lease.is_fenced(node.running):
             return f"{name} runs version {node.running} and takes no requests"
     return ""
 
@@ -137,84 +139,89 @@
 Next = tuple[str, World]
 
 
-def _next(world: World, bounds: Bounds, less: Less) -> Iterator[Next]:
-    """All that may happen now."""
-    older = tuple(node and replace(node, heard=node.heard - 1, since=node.since - 1) for node in world.known)
-    yield "time goes on", replace(world, known=older)
-    if world.wanted < 1 + bounds.publishes:
-        known = tuple(node and node.to_run(0, world.wanted + 1) for node in world.known)
-        yield f"version {world.wanted + 1} is published", replace(world, wanted=world.wanted + 1, known=known)
-    yield from _looks(world, less)
+def _next(world: World, bounds: Bounds, removed: RemovedSafeguard) -> Iterator[Next]:
+    """Yield every next step with its label."""
+    older = tuple(
+        node and replace(node, last_report=node.last_report - 1, desired_since=node.desired_since - 1)
+        for node in world.known
+    )
+    yield "time passes", replace(world, known=older)
+    if world.desired < 1 + bounds.publishes:
+        known = tuple(node and node.with_desired(0, world.desired + 1) for node in world.known)
+        yield f"version {world.desired + 1} is published", replace(world, desired=world.desired + 1, known=known)
+    yield from _decisions(world, removed)
     if world.restarts < bounds.restarts and any(world.known):
-        kept = (0,) * bounds.nodes if less is Less.KEPT else world.kept
-        known = tuple(Node(name, 0, order=order).to_run(0, world.wanted) if order else None
-                      for name, order in zip(NAMES, kept, strict=False))  # fmt: skip
-        nodes = tuple(replace(node, asked=None) if node.asked is not None else node for node in world.nodes)
-        yield "the service is started anew", replace(world, known=known, nodes=nodes, restarts=world.restarts + 1)
+        stored = (0,) * bounds.nodes if removed is RemovedSafeguard.STORED_ORDERS else world.stored
+        known = tuple(Node(name, 0, fence_order=order).with_desired(0, world.desired) if order else None
+                      for name, order in zip(NAMES, stored, strict=False))  # fmt: skip
+        nodes = tuple(replace(node, report=None) if node.report is not None else node for node in world.nodes)
+        yield "the service restarts", replace(world, known=known, nodes=nodes, restarts=world.restarts + 1)
     for n, node in enumerate(world.nodes):
-        yield from _turn(world, n, node, bounds, less)
-    for which, (n, asked) in enumerate(world.late):
+        yield from _node_steps(world, n, node, bounds, removed)
+    for which, (n, report) in enumerate(world.late):
         rest = world.late[:which] + world.late[which + 1 :]
-        yield f"a question that {NAMES[n]} gave up arrives", replace(_heard(world, n, asked, less), late=rest)
+        yield f"a report that {NAMES[n]} abandoned arrives", replace(_received(world, n, report, removed), late=rest)
 
 
-def _looks(world: World, less: Less) -> Iterator[Next]:
-    """The service decides about those it knows, and writes down who may be out before anybody hears of it."""
+def _decisions(world: World, removed: RemovedSafeguard) -> Iterator[Next]:
+    """Let the service decide about the nodes it knows; it stores fence orders before any node receives them."""
     known = {node.name: node for node in world.known if node is not None}
     if not known:
         return
-    after, given = orders(known, dict.fromkeys(known, (world.wanted, f"d{world.wanted}", "rule")), 0, RULES)
-    if less is Less.HELD:
-        after = {name: replace(node, echo=node.order) for name, node in after.items()}
-    out = [name for name, (order, _) in given.items() if order is Order.FENCE]
-    kept = world.kept
-    if any(node.out and kept[NAMES.index(name)] != node.order for name, node in after.items()):
-        kept = tuple(after[name].order if name in after else 0 for name, _ in zip(NAMES, kept, strict=False))
-    then = replace(world, known=tuple(after.get(name) for name, _ in zip(NAMES, kept, strict=False)), kept=kept)
+    after, given = decide_orders(known, dict.fromkeys(known, (world.desired, f"d{world.desired}", "rule")), 0, RULES)
+    if removed is RemovedSafeguard.MAY_BE_FENCED:
+        after = {name: replace(node, acknowledged_order=node.fence_order) for name, node in after.items()}
+    fenced = [name for name, (order, _) in given.items() if order is Order.FENCE]
+    stored = world.stored
+    if any(node.fenced and stored[NAMES.index(name)] != node.fence_order for name, node in after.items()):
+        stored = tuple(after[name].fence_order if name in after else 0 for name, _ in zip(NAMES, stored, strict=False))
+    then = replace(world, known=tuple(after.get(name) for name, _ in zip(NAMES, stored, strict=False)), stored=stored)
     if then != world:
-        yield f"the service looks: {' and '.join(out) or 'nobody'} out", then
+        yield f"the service decides: {' and '.join(fenced) or 'nobody'} fenced", then
 
 
-def _turn(world: World, n: int, node: At, bounds: Bounds, less: Less) -> Iterator[Next]:
-    """What a node may do, and what may become of its question."""
-    name, asked = NAMES[n], node.asked
-    if asked is None:
-        made = Asked(node.running, node.permit.is_fenced(node.running), node.permit.order)
-        yield f"{name} asks", _with(world, n, replace(node, asked=made))
+def _node_steps(world: World, n: int, node: NodeState, bounds: Bounds, removed: RemovedSafeguard) -> Iterator[Next]:
+    """Yield what a node may do, and what may happen to its report."""
+    name, report = NAMES[n], node.report
+    if report is None:
+        sent = PendingReport(node.running, node.lease.is_fenced(node.running), node.lease.order)
+        yield f"{name} sends a report", _with(world, n, replace(node, report=sent))
         return
-    if world.given_up < bounds.given_up:
-        alone = replace(_with(world, n, replace(node, asked=None)), given_up=world.given_up + 1)
-        yield f"{name} gives its question up", alone
-        if not asked.there:
-            yield f"{name} gives its question up, on its way still", replace(alone, late=(*world.late, (n, asked)))
-    if not asked.there:
-        told = _heard(world, n, asked, less)
-        yield f"{name}'s question arrives", _with(told, n, replace(node, asked=replace(asked, there=True)))
+    if world.abandoned < bounds.abandoned:
+        without = replace(_with(world, n, replace(node, report=None)), abandoned=world.abandoned + 1)
+        yield f"{name} abandons its report", without
+        if not report.arrived:
+            yield f"{name} abandons its report, still on its way", replace(without, late=(*world.late, (n, report)))
+    if not report.arrived:
+        received = _received(world, n, report, removed)
+        yield f"{name}'s report arrives", _with(received, n, replace(node, report=replace(report, arrived=True)))
         return
-    if asked.answer is None:
+    if report.answer is None:
         known = world.known[n]
-        answer = known.order if known is not None else 0, world.wanted
-        yield f"{name} is answered", _with(world, n, replace(node, asked=replace(asked, answer=answer)))
+        answer = known.fence_order if known is not None else 0, world.desired
+        yield f"{name} is answered", _with(world, n, replace(node, report=replace(report, answer=answer)))
         return
-    order, number = asked.answer
-    lifted_by = 1_000 if less is Less.LIFTED else number
-    permit = node.permit.fenced("behind" if order % 2 else "", lifted_by, order)
-    yield f"{name} hears the answer", _with(world, n, replace(node, asked=None, permit=permit))
+    order, number = report.answer
+    lifted_by = 1_000 if removed is RemovedSafeguard.LIFTING_VERSION else number
+    lease = node.lease.fenced("behind" if order % 2 else "", lifted_by, order)
+    yield f"{name} receives the answer", _with(world, n, replace(node, report=None, lease=lease))
     if number > node.running:
-        taken = replace(node, asked=None, permit=permit, running=number)
-        yield f"{name} hears the answer and takes version {number}", _with(world, n, taken)
+        installed = replace(node, report=None, lease=lease, running=number)
+        yield f"{name} receives the answer and installs version {number}", _with(world, n, installed)
 
 
-def _heard(world: World, n: int, asked: Asked, less: Less) -> World:
+def _received(world: World, n: int, report: PendingReport, removed: RemovedSafeguard) -> World:
     known = world.known[n] or Node(NAMES[n], 0, "p")
-    order = asked.order
-    if less is Less.HELD or (less is Less.ECHO and not asked.out):
-        order = known.order
-    digest = f"d{asked.running}"
-    node = known.reported(0, "p", asked.running, digest, digest, 0, "", order)
-    node = node.to_run(0, world.wanted)
+    order = report.order
+    if removed is RemovedSafeguard.MAY_BE_FENCED or (
+        removed is RemovedSafeguard.ACKNOWLEDGED_ORDER and not report.fenced
+    ):
+        order = known.fence_order
+    digest = f"d{report.running}"
+    node = known.reported(0, "p", report.running, digest, digest, 0, "", order)
+    node = node.with_desired(0, world.desired)
     return replace(world, known=(*world.known[:n], node, *world.known[n + 1 :]))
 
 
-def _with(world: World, n: int, node: At) -> World:
+def _with(world: World, n: int, node: NodeState) -> World:
     return replace(world, nodes=(*world.nodes[:n], node, *world.nodes[n + 1 :]))
--- a/stonetrack/control/messages.py
+++ b/stonetrack/control/messages.py
@@ -1,4 +1,4 @@
-"""What passes between a node and the control service, as types.  No I/O."""
+"""Messages between a node and the control service.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """A node's question; counts are of its process, so they begin anew with ``boot``."""
+    """A node's report; ``asked`` and ``served`` count requests of its process, from 0 with each new ``boot``."""
 
     name: str
     boot: str
@@ -20,16 +20,16 @@
     asked: int = 0
     served: int = 0
     wait_ms: int = 0
-    order: int = 0  # the last one that this process has heard
+    order: int = 0  # number of the last order that this process has received
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What the node is to do."""
+    """The service's answer to a report; ``permit_ms`` is the duration of the node's lease on taking requests."""
 
     permit_ms: int
     steps_out: bool
     document: Document | None = None
-    out: str = ""  # why it is shut out, until it runs ``lifted_by``
-    lifted_by: int = 0  # the version that is to be run
+    out: str = ""  # why it is fenced, until it runs ``lifted_by``
+    lifted_by: int = 0  # number of the node's desired version
     restart: bool = False
-    order: int = 0  # counts the service's orders to this node; odd: out, even: in again
+    order: int = 0  # number of the service's last order to this node; odd: fenced, even: fence lifted
--- a/stonetrack/control/settings.py
+++ b/stonetrack/control/settings.py
@@ -1,4 +1,4 @@
-"""The control service's settings: a Jsonnet file, checked like the node's."""
+"""Settings of the control service: a Jsonnet file, checked like the node's."""
 
 from __future__ import annotations
 
@@ -16,46 +16,46 @@
 
 
 class Change(Strict, frozen=True):
-    """What holds for one kind of change."""
+    """Limits for one kind of change."""
 
-    grace_s: Seconds  # in which nothing is done about who lags
-    bound_s: Seconds  # past which a stale node is shut out
-    steps_out: bool = False  # a node that nobody renews the permit of takes no more requests; false: it serves on
+    grace_s: Seconds  # before anything is done about a node that lags
+    bound_s: Seconds  # after which a stale node is fenced
+    steps_out: bool = False  # whether a node stops taking requests when its lease expires without renewal
 
 
 class Control(Strict, frozen=True, kw_only=True):
     """All settings of one control service."""
 
     listen: Listen = Listen(port=7100)
-    state_dir: str  # where versions are kept for a restart
+    state_dir: str  # where versions are stored
     rule: Change = Change(grace_s=3.0, bound_s=10.0)
     weight: Change = Change(grace_s=60.0, bound_s=300.0)
-    permit_s: Seconds = 15.0  # for which an answer lets a node take requests
-    wait_s: Seconds = 5.0  # longest wait of a node's question; under a third of the permit
+    permit_s: Seconds = 15.0  # duration of a node's lease on taking requests
+    wait_s: Seconds = 5.0  # longest wait of a node's report; under a third of permit_s
     restart_pause_s: Seconds = 10.0
     restarts: Annotated[int, Meta(ge=0, le=10_000)] = 2
     most_out: Share = 0.2
     bad_share: Share = 0.5
-    forget_s: Seconds = 3_600.0  # a node that was not heard for so long is no longer counted
+    forget_s: Seconds = 3_600.0  # a node without a report for so long is no longer counted
     limits: Limits = Limits(workers=12_000, body_bytes=1 << 20, socket_send_bytes=0)
     timing: Timing = Timing(drain_ms=1_000)
     log_level: Annotated[str, Meta(pattern="^(debug|info|warning|error)$")] = "info"
 
 
 def rules(settings: Control) -> Rules:
-    """The machine's rules, times in nanoseconds."""
+    """Return the limits of the decisions, times in nanoseconds."""
     kinds = {"rule": settings.rule, "weight": settings.weight}
     return Rules(
         {name: int(kind.grace_s * SECOND) for name, kind in kinds.items()},
         {name: int(kind.bound_s * SECOND) for name, kind in kinds.items()},
-        silent=int((settings.permit_s + settings.wait_s) * SECOND),
+        silent_after=int((settings.permit_s + settings.wait_s) * SECOND),
         restart_pause=int(settings.restart_pause_s * SECOND),
-        restarts=settings.restarts,
-        most_out=settings.most_out,
-        bad_share=settings.bad_share,
+        max_restarts=settings.restarts,
+        max_fenced_share=settings.most_out,
+        bad_version_share=settings.bad_share,
     )
 
 
 def load_control(path: Path, variables: dict[str, str] | None = None) -> Control:
-    """Evaluate and check a file.  Raises SettingsError naming path, value and what is allowed."""
+    """Evaluate and check a file.  Raises SettingsError with path, value and what is allowed."""
     return decode(evaluate(path, variables), Control, str(path))
