--- a/benchmarks/shutout.py
+++ b/benchmarks/shutout.py
@@ -11,7 +11,7 @@
 import click
 
 from stonetrack.control.explore import Bounds, RemovedSafeguard, explore
-from stonetrack.election.search import Found
+from stonetrack.election.breadth_first import SearchResult
 
 CASES = [
     ("two nodes", Bounds(restarts=0, abandoned=0), RemovedSafeguard.NONE),
@@ -25,7 +25,7 @@
 ]
 
 
-def run_case(case: tuple[Bounds, RemovedSafeguard]) -> tuple[Found, float]:
+def run_case(case: tuple[Bounds, RemovedSafeguard]) -> tuple[SearchResult, float]:
     """Return the result of a case and its duration in seconds."""
     started = time.monotonic()
     return explore(*case), time.monotonic() - started
@@ -39,9 +39,9 @@
     cases = [(Bounds(b.nodes, b.restarts, b.abandoned, b.publishes, states), removed) for _, b, removed in CASES]
     with ProcessPoolExecutor(cores) as pool:
         for (name, *_), (found, seconds) in zip(CASES, pool.map(run_case, cases), strict=True):
-            complete = "all" if found.whole else "not all"
+            complete = "all" if found.complete else "not all"
             click.echo(
-                f"{name}: {found.states} states ({complete}) in {seconds:.0f} s, broken: {found.broken or 'none'}"
+                f"{name}: {found.states} states ({complete}) in {seconds:.0f} s, broken: {found.violation or 'none'}"
             )
             for n, label in enumerate(found.history, 1):
                 click.echo(f"  {n}. {label}")
--- a/stonetrack/control/client.py
+++ b/stonetrack/control/client.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from stonetrack.election.fence import HEADER, NOBODY, Token
+from stonetrack.election.fencing import NO_TOKEN, TOKEN_HEADER, Token
 from stonetrack.engines import calls
 from stonetrack.engines.calls import CallFailed
 from stonetrack.engines.server_list import split_address
@@ -16,7 +16,7 @@
 class ControlError(OSError):
     """A failed or refused call; ``known`` is the service's latest leader, for a caller whose term is over."""
 
-    def __init__(self, text: str, known: Token = NOBODY) -> None:
+    def __init__(self, text: str, known: Token = NO_TOKEN) -> None:
         super().__init__(text)
         self.known = known
 
@@ -31,7 +31,7 @@
     host, port = found
     headers = [("Host", f"{host}:{port}"), ("Connection", "close")]
     if token is not None:
-        headers.append((HEADER, str(token)))
+        headers.append((TOKEN_HEADER, str(token)))
     data = msgspec.json.encode(body) if body is not None else b""
     try:
         status, answer = calls.call(host, port, writer.request(method, path, headers, data), timeout_s)
@@ -39,6 +39,6 @@
     except (CallFailed, msgspec.DecodeError) as error:
         raise ControlError(f"{address}: {error}") from None
     if status != 200:
-        known = msgspec.convert(reply["known"], Token) if "known" in reply else NOBODY
+        known = msgspec.convert(reply["known"], Token) if "known" in reply else NO_TOKEN
         raise ControlError(f"{address}: {reply.get('error', status)}", known)
     return reply
--- a/stonetrack/control/explore.py
+++ b/stonetrack/control/explore.py
@@ -22,7 +22,7 @@
 
 from stonetrack.control.follower import Lease
 from stonetrack.control.stale_nodes import Node, Order, Rules, decide_orders
-from stonetrack.election.search import Found, search
+from stonetrack.election.breadth_first import SearchResult, search
 
 NAMES = ("a", "b", "c")
 RULES = Rules(grace={"rule": 1}, fence_after={"rule": 1}, silent_after=3, restart_pause=100, max_restarts=0,
@@ -84,7 +84,7 @@
     abandoned: int = 0
 
 
-def explore(bounds: Bounds, removed: RemovedSafeguard = RemovedSafeguard.NONE) -> Found:
+def explore(bounds: Bounds, removed: RemovedSafeguard = RemovedSafeguard.NONE) -> SearchResult:
     """Search all histories within the bounds for a violated property."""
     first = World(1, (NodeState(),) * bounds.nodes, (None,) * bounds.nodes, (0,) * bounds.nodes, ())
 
--- a/stonetrack/control/service.py
+++ b/stonetrack/control/service.py
@@ -34,7 +34,7 @@
 from stonetrack.control.settings import SECOND, Control, rules
 from stonetrack.control.stale_nodes import Evidence, Node, Order, decide_orders
 from stonetrack.durable import save
-from stonetrack.election.fence import HEADER, NOBODY, Fence, Refused, Token, token_of
+from stonetrack.election.fencing import NO_TOKEN, TOKEN_HEADER, Fence, FencingError, Token, parse_token
 from stonetrack.frontend.connection import Connection, HttpRequest
 from stonetrack.frontend.host import Host, plain_response
 from stonetrack.frontend.long_poll import LongPoll
@@ -57,7 +57,7 @@
     candidate: int
     share: float
     first: list[str] = []
-    owner: Token = NOBODY
+    owner: Token = NO_TOKEN
     orders: dict[str, int] = {}  # number of the last order, by node that was ever fenced
 
 
@@ -110,7 +110,7 @@
 
     def _restore(self) -> tuple[History, Token, dict[str, int]]:
         if not self._path.exists():
-            return History(), NOBODY, {}
+            return History(), NO_TOKEN, {}
         try:
             stored = msgspec.json.decode(self._path.read_bytes(), type=_StoredState)
             history = versions.from_fields(stored.documents, stored.base, stored.candidate, stored.share, stored.first)
@@ -138,7 +138,7 @@
     # Versions.
 
     def change(self, token: Token | None, transition: Callable[[History], History], what: str) -> History:
-        """Apply a leader's change.  Raises Refused, HistoryError or OSError and then changes nothing."""
+        """Apply a leader's change.  Raises FencingError, HistoryError or OSError and then changes nothing."""
         with self._lock:
             before = self.history
             self._fence.check(token)
@@ -244,7 +244,7 @@
         keep = head.keep_alive and not self._waiting.stopping
         if head.path == "/node" and head.method == "POST":
             return self._answer_node(connection, request, waker, keep)
-        status, body = self._call(head.method, head.path, request.body, head.headers.get(HEADER.lower()))
+        status, body = self._call(head.method, head.path, request.body, head.headers.get(TOKEN_HEADER.lower()))
         kind = "text/plain; version=0.0.4" if head.path == "/metrics" else "application/json"
         connection.write(plain_response(status, body, (), kind, keep))
         return keep
@@ -269,8 +269,8 @@
 
     def _change_versions(self, path: str, data: bytes, owner: str) -> tuple[int, bytes]:
         try:
-            token = token_of(owner)
-            publisher = token or NOBODY
+            token = parse_token(owner)
+            publisher = token or NO_TOKEN
             if path == "/settings":
                 published = msgspec.json.decode(data, type=_PublishRequest)
                 after = self.change(
@@ -286,7 +286,7 @@
                     after = self.change(
                         token, lambda h: h.rolled_back(staged.number, publisher.term, publisher.owner),
                         "rolled back")  # fmt: skip
-        except Refused as error:
+        except FencingError as error:
             self.answers["refused"] += 1
             return 409, msgspec.json.encode({"error": str(error), "known": error.known})
         except HistoryError as error:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -414,7 +414,7 @@
 ) -> None:
     """``benchmarks/shutout.py`` runs the other cases and larger bounds."""
     found = explore(bounds, removed)
-    assert violation in found.broken and bool(violation) == bool(found.history)
+    assert violation in found.violation and bool(violation) == bool(found.history)
 
 
 # Roll-outs.
