--- a/stonetrack/control/explore.py
+++ b/stonetrack/control/model_checker.py
@@ -11,7 +11,7 @@
 1. the number of nodes that refuse requests because they are fenced never exceeds the limit;
 2. a node that runs the version that lifts its fence takes requests, whatever it can reach.
 
-:class:`RemovedSafeguard` removes one safeguard, to show that the exploration finds the violation that it prevents.
+:class:`Omitted` names a safeguard to leave out, to show that the exploration finds the violation that it prevents.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 MAX_FENCED = 1
 
 
-class RemovedSafeguard(Enum):
+class Omitted(Enum):
     """The safeguard that is left out."""
 
-    NONE = auto()
+    NOTHING = auto()
     MAY_BE_FENCED = auto()  # only orders are counted, not nodes that have yet to receive the lifting of their fence
     STORED_ORDERS = auto()  # a restarted service does not know which nodes it fenced
     ACKNOWLEDGED_ORDER = auto()  # a node that reports that it is not fenced is believed, whatever order it received
@@ -84,12 +84,12 @@
     abandoned: int = 0
 
 
-def explore(bounds: Bounds, removed: RemovedSafeguard = RemovedSafeguard.NONE) -> SearchResult:
+def explore(bounds: Bounds, omitted: Omitted = Omitted.NOTHING) -> SearchResult:
     """Search all histories within the bounds for a violated property."""
     first = World(1, (NodeState(),) * bounds.nodes, (None,) * bounds.nodes, (0,) * bounds.nodes, ())
 
     def steps(world: World) -> Iterator[tuple[str, World, str]]:
-        for label, after in _next(world, bounds, removed):
+        for label, after in _next(world, bounds, omitted):
             yield label, after, _violation(after)
 
     return search(first, steps, _normalized, bounds.states)
@@ -139,7 +139,7 @@
 Next = tuple[str, World]
 
 
-def _next(world: World, bounds: Bounds, removed: RemovedSafeguard) -> Iterator[Next]:
+def _next(world: World, bounds: Bounds, omitted: Omitted) -> Iterator[Next]:
     """Yield every next step with its label."""
     older = tuple(
         node and replace(node, last_report=node.last_report - 1, desired_since=node.desired_since - 1)
@@ -149,27 +149,27 @@
     if world.desired < 1 + bounds.publishes:
         known = tuple(node and node.with_desired(0, world.desired + 1) for node in world.known)
         yield f"version {world.desired + 1} is published", replace(world, desired=world.desired + 1, known=known)
-    yield from _decisions(world, removed)
+    yield from _decisions(world, omitted)
     if world.restarts < bounds.restarts and any(world.known):
-        stored = (0,) * bounds.nodes if removed is RemovedSafeguard.STORED_ORDERS else world.stored
+        stored = (0,) * bounds.nodes if omitted is Omitted.STORED_ORDERS else world.stored
         known = tuple(Node(name, 0, fence_order=order).with_desired(0, world.desired) if order else None
                       for name, order in zip(NAMES, stored, strict=False))  # fmt: skip
         nodes = tuple(replace(node, report=None) if node.report is not None else node for node in world.nodes)
         yield "the service restarts", replace(world, known=known, nodes=nodes, restarts=world.restarts + 1)
     for n, node in enumerate(world.nodes):
-        yield from _node_steps(world, n, node, bounds, removed)
+        yield from _node_steps(world, n, node, bounds, omitted)
     for which, (n, report) in enumerate(world.late):
         rest = world.late[:which] + world.late[which + 1 :]
-        yield f"a report that {NAMES[n]} abandoned arrives", replace(_received(world, n, report, removed), late=rest)
+        yield f"a report that {NAMES[n]} abandoned arrives", replace(_received(world, n, report, omitted), late=rest)
 
 
-def _decisions(world: World, removed: RemovedSafeguard) -> Iterator[Next]:
+def _decisions(world: World, omitted: Omitted) -> Iterator[Next]:
     """Let the service decide about the nodes it knows; it stores fence orders before any node receives them."""
     known = {node.name: node for node in world.known if node is not None}
     if not known:
         return
     after, given = decide_orders(known, dict.fromkeys(known, (world.desired, f"d{world.desired}", "rule")), 0, RULES)
-    if removed is RemovedSafeguard.MAY_BE_FENCED:
+    if omitted is Omitted.MAY_BE_FENCED:
         after = {name: replace(node, acknowledged_order=node.fence_order) for name, node in after.items()}
     fenced = [name for name, (order, _) in given.items() if order is Order.FENCE]
     stored = world.stored
@@ -180,7 +180,7 @@
         yield f"the service decides: {' and '.join(fenced) or 'nobody'} fenced", then
 
 
-def _node_steps(world: World, n: int, node: NodeState, bounds: Bounds, removed: RemovedSafeguard) -> Iterator[Next]:
+def _node_steps(world: World, n: int, node: NodeState, bounds: Bounds, omitted: Omitted) -> Iterator[Next]:
     """Yield what a node may do, and what may happen to its report."""
     name, report = NAMES[n], node.report
     if report is None:
@@ -193,7 +193,7 @@
         if not report.arrived:
             yield f"{name} abandons its report, still on its way", replace(without, late=(*world.late, (n, report)))
     if not report.arrived:
-        received = _received(world, n, report, removed)
+        received = _received(world, n, report, omitted)
         yield f"{name}'s report arrives", _with(received, n, replace(node, report=replace(report, arrived=True)))
         return
     if report.answer is None:
@@ -202,7 +202,7 @@
         yield f"{name} is answered", _with(world, n, replace(node, report=replace(report, answer=answer)))
         return
     order, number = report.answer
-    lifted_by = 1_000 if removed is RemovedSafeguard.LIFTING_VERSION else number
+    lifted_by = 1_000 if omitted is Omitted.LIFTING_VERSION else number
     lease = node.lease.fenced("behind" if order % 2 else "", lifted_by, order)
     yield f"{name} receives the answer", _with(world, n, replace(node, report=None, lease=lease))
     if number > node.running:
@@ -210,12 +210,10 @@
         yield f"{name} receives the answer and installs version {number}", _with(world, n, installed)
 
 
-def _received(world: World, n: int, report: PendingReport, removed: RemovedSafeguard) -> World:
+def _received(world: World, n: int, report: PendingReport, omitted: Omitted) -> World:
     known = world.known[n] or Node(NAMES[n], 0, "p")
     order = report.order
-    if removed is RemovedSafeguard.MAY_BE_FENCED or (
-        removed is RemovedSafeguard.ACKNOWLEDGED_ORDER and not report.fenced
-    ):
+    if omitted is Omitted.MAY_BE_FENCED or (omitted is Omitted.ACKNOWLEDGED_ORDER and not report.fenced):
         order = known.fence_order
     digest = f"d{report.running}"
     node = known.reported(0, "p", report.running, digest, digest, 0, "", order)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,10 +20,10 @@
 from stonetrack.control import stale_nodes
 from stonetrack.control.client import ControlError, call
 from stonetrack.control.documents import NO_VERSION, Document, content_digest, make_document, problem
-from stonetrack.control.explore import Bounds, RemovedSafeguard, explore
 from stonetrack.control.follower import Follower, InstallStep, Lease
 from stonetrack.control.history import History, HistoryError, from_fields, share_position, to_fields
 from stonetrack.control.messages import Answer, Report
+from stonetrack.control.model_checker import Bounds, Omitted, explore
 from stonetrack.control.rollout import NodeSample, SprtParameters, StageAction, Verdict, next_action, verdict
 from stonetrack.control.stale_nodes import Evidence, Node, Order, Rules, decide_orders
 from stonetrack.daemon.control_follower import ControlFollower
@@ -402,18 +402,18 @@
 
 
 @pytest.mark.parametrize(
-    "removed, bounds, violation",
+    "omitted, bounds, violation",
     [
-        (RemovedSafeguard.NONE, Bounds(restarts=0, abandoned=0, states=8_000), ""),
-        (RemovedSafeguard.LIFTING_VERSION, Bounds(restarts=0, abandoned=0), "takes no requests"),
-        (RemovedSafeguard.MAY_BE_FENCED, Bounds(abandoned=0), "are fenced at one time"),
+        (Omitted.NOTHING, Bounds(restarts=0, abandoned=0, states=8_000), ""),
+        (Omitted.LIFTING_VERSION, Bounds(restarts=0, abandoned=0), "takes no requests"),
+        (Omitted.MAY_BE_FENCED, Bounds(abandoned=0), "are fenced at one time"),
     ],
 )
 def test_fencing_holds_its_properties_and_needs_each_safeguard(
-    removed: RemovedSafeguard, bounds: Bounds, violation: str
+    omitted: Omitted, bounds: Bounds, violation: str
 ) -> None:
     """``benchmarks/shutout.py`` runs the other cases and larger bounds."""
-    found = explore(bounds, removed)
+    found = explore(bounds, omitted)
     assert violation in found.violation and bool(violation) == bool(found.history)
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -103,7 +103,7 @@
     "controller/publishing.py", "controller/rollout.py", "controller/health_checks.py",
     "engines/failure_hints.py", "control/documents.py", "control/follower.py", "control/history.py",
     "control/rollout.py",
-    "control/settings.py", "control/explore.py", "control/stale_nodes.py", "control/messages.py",
+    "control/settings.py", "control/model_checker.py", "control/stale_nodes.py", "control/messages.py",
     "daemon/stable_positions.py", "engines/idle_timeouts.py", "controller/retention.py",
     "controller/settings.py", "fleet/shape.py",
     "fleet/script.py", "fleet/model.py", "fleet/judge.py", "fleet/serving.py", "fleet/faulted.py",
