--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list service: versions and changes, turns, what outlives a restart, and its sockets."""
+"""The discovery service: versions and changes, admission control, the state file, and its sockets."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     st.integers(1, 6),
     st.lists(st.integers(0, 12), max_size=8),
 )
-def test_whoever_follows_the_changes_holds_the_list(
+def test_a_client_that_applies_the_changes_has_the_list(
     puts: list[tuple[bool, dict[str, int]]], most: int, stops: list[int]
 ) -> None:
     history = History("h", 10, [line("a")], most)
@@ -59,26 +59,26 @@
         assert (history.version == version + 1) == bool(changed) == (history.lines != before)
         if n in stops:
             followers.append(ServerListState(KINDS))
-        for follower in followers[: 1 + n % 3]:  # some fall behind
-            told = history.document_since(follower.version, follower.origin)
-            if told is not None:
-                follower.apply_json(told.body, 0)
+        for follower in followers[: 1 + n % 3]:  # some are left behind
+            document = history.document_since(follower.version, follower.origin)
+            if document is not None:
+                follower.apply_json(document.body, 0)
             assert follower.version == history.version
             assert {k: v.weight for k, v in follower.entries.items()} == {
                 k: float(v.get("weight", 1.0)) for k, v in history.lines.items()
             }
-    whole_list = history.full()
+    full_list = history.full()
     assert (
         history.document_since(history.version, "h") is None
-        and history.document_since(history.version, "other") == whole_list
+        and history.document_since(history.version, "other") == full_list
     )
-    assert history.document_since(history.oldest_base - 1, "h") == whole_list
-    assert history.document_since(history.version + 1, "h") == whole_list and history.client_is_ahead(
+    assert history.document_since(history.oldest_base - 1, "h") == full_list
+    assert history.document_since(history.version + 1, "h") == full_list and history.client_is_ahead(
         history.version + 1, "h"
     )
 
 
-def test_a_document_is_encoded_once_for_all_and_forgotten_with_its_version() -> None:
+def test_a_document_is_encoded_once_and_dropped_with_its_version() -> None:
     history = History("h", 1, [line(f"e{n}") for n in range(50)])
     history.change([line("e1", weight=2.0)])
     first, second = history.document_since(1, "h"), history.document_since(1, "h")
@@ -89,60 +89,60 @@
     assert again is not None and again.body is not first.body
 
 
-def test_lines_that_can_be_no_list_change_nothing() -> None:
+def test_invalid_lines_change_nothing() -> None:
     history = History("h", 1, [line("a")])
-    for wrong in ([line("b"), line("b")], [{"address": "x"}], ["a"]):
+    for invalid in ([line("b"), line("b")], [{"address": "x"}], ["a"]):
         with pytest.raises(LinesError):
-            history.put(wrong)  # type: ignore[arg-type]
+            history.put(invalid)  # type: ignore[arg-type]
     assert set(history.lines) == {"a"} and history.version == 1
 
 
-def test_what_was_taken_out_does_not_pile_up() -> None:
+def test_lines_of_removed_engines_do_not_accumulate() -> None:
     history = History("h", 1, most=5)
     for n in range(3_000):
         history.put([line(f"e{n}"), *(line(f"stays{m}") for m in range(20))])
     assert len(history._removed) <= 1_100
-    told = history.document_since(history.version - 2, "h")
-    assert told is not None and b"removed" in told.body
+    document = history.document_since(history.version - 2, "h")
+    assert document is not None and b"removed" in document.body
 
 
 # AdmissionQueue.
 
 
-def test_documents_leave_at_the_pace_given_and_who_would_wait_too_long_comes_again_in_its_own_second() -> None:
-    turns = AdmissionQueue(10.0, 8.0)
-    given_turns = [turns.admit(0, f"n{n}", 1.0) for n in range(50)]
-    served = [t.send_at for t in given_turns if isinstance(t, Admitted)]
-    assert served == [n * SECOND // 10 for n in range(9)]  # one goes out at once, eight wait
-    later = [t.retry_after_s for t in given_turns if isinstance(t, RetryLater)]
-    assert turns.rejected == 41 and later == sorted(later)
+def test_documents_are_sent_at_the_configured_rate_and_rejected_nodes_get_spread_retry_times() -> None:
+    admission = AdmissionQueue(10.0, 8.0)
+    results = [admission.admit(0, f"n{n}", 1.0) for n in range(50)]
+    served = [t.send_at for t in results if isinstance(t, Admitted)]
+    assert served == [n * SECOND // 10 for n in range(9)]  # one is sent at once, eight wait
+    later = [t.retry_after_s for t in results if isinstance(t, RetryLater)]
+    assert admission.rejected == 41 and later == sorted(later)
     assert max(later.count(second) for second in later) <= 9  # as many as may wait
-    assert all(isinstance(turns.admit(a * SECOND, f"m{n}", 1.0), Admitted) for n, a in enumerate(later))
+    assert all(isinstance(admission.admit(a * SECOND, f"m{n}", 1.0), Admitted) for n, a in enumerate(later))
 
 
-def test_a_node_that_asks_in_a_loop_takes_no_other_nodes_place() -> None:
-    turns = AdmissionQueue(10.0, 8.0)
-    greedy = [turns.admit(0, "greedy", 1.0) for _ in range(100)]
-    assert sum(isinstance(t, Admitted) for t in greedy) == 2
-    others = [turns.admit(0, f"n{n}", 1.0) for n in range(6)]
+def test_a_node_that_asks_in_a_loop_takes_no_capacity_from_others() -> None:
+    admission = AdmissionQueue(10.0, 8.0)
+    greedy_results = [admission.admit(0, "greedy", 1.0) for _ in range(100)]
+    assert sum(isinstance(t, Admitted) for t in greedy_results) == 2
+    others = [admission.admit(0, f"n{n}", 1.0) for n in range(6)]
     assert all(isinstance(t, Admitted) for t in others)
-    turns.done("greedy")
-    turns.done("greedy")
-    assert isinstance(turns.admit(10 * SECOND, "greedy", 1.0), Admitted)
+    admission.done("greedy")
+    admission.done("greedy")
+    assert isinstance(admission.admit(10 * SECOND, "greedy", 1.0), Admitted)
 
 
-def test_changes_cost_what_their_size_is_and_who_can_wait_is_not_sent_away() -> None:
-    turns = AdmissionQueue(10.0, 8.0)
-    waits = [turns.admit(0, f"n{n}", 0.05, patience=20 * SECOND) for n in range(400)]
+def test_changes_cost_their_size_and_long_polls_are_not_rejected() -> None:
+    admission = AdmissionQueue(10.0, 8.0)
+    waits = [admission.admit(0, f"n{n}", 0.05, patience=20 * SECOND) for n in range(400)]
     assert all(isinstance(t, Admitted) for t in waits)
     assert waits[-1] == Admitted(399 * SECOND // 200)
-    assert isinstance(turns.admit(0, "late", 1.0), RetryLater)
+    assert isinstance(admission.admit(0, "late", 1.0), RetryLater)
 
 
-# Keeping.
+# State file.
 
 
-def test_a_version_is_never_counted_twice_and_a_lost_folder_begins_another_history(tmp_path: Path) -> None:
+def test_a_version_is_never_used_twice_and_a_lost_folder_starts_another_history(tmp_path: Path) -> None:
     first = load_state(tmp_path, lambda: 1_000, 10)[0]
     assert first.version == 1_000
     first.put([line("a")])
@@ -167,18 +167,18 @@
         "limits": Limits(workers=64), "timing": Timing(drain_ms=500), **more}  # fmt: skip
     listener = listen("127.0.0.1", 0, 128)
     port: int = listener.getsockname()[1]
-    said: list[str] = []
-    made = Service(DiscoverySettings(**given_settings), listener, lambda text, **fields: said.append(text))
-    made.start()
+    logged: list[str] = []
+    running = Service(DiscoverySettings(**given_settings), listener, lambda text, **fields: logged.append(text))
+    running.start()
     try:
-        yield made, port
+        yield running, port
     finally:
-        made.drain()
-        made.stop()
+        running.drain()
+        running.stop()
         listener.close()
 
 
-def ask(port: int, query: str = "", node: str = "n0") -> tuple[http1.ResponseHead, Any]:
+def get_list(port: int, query: str = "", node: str = "n0") -> tuple[http1.ResponseHead, Any]:
     request = writer.request("GET", f"/engines{query}", [("Host", "t"), ("X-Stonetrack-Instance", node),
                                                          ("Connection", "close")])  # fmt: skip
     head, body = exchange("127.0.0.1", port, request, 10.0)
@@ -191,134 +191,142 @@
     return status, json.loads(answer)
 
 
-def test_a_poll_hears_of_a_change_at_once_and_of_nothing_when_its_time_is_over(tmp_path: Path) -> None:
-    with service(tmp_path) as (made, port):
+def test_a_long_poll_returns_a_change_at_once_and_204_after_its_wait(tmp_path: Path) -> None:
+    with service(tmp_path) as (running, port):
         assert put(port, [line("a"), line("b"), *(line(f"x{n}") for n in range(9))])[0] == 200
-        head, whole = ask(port)
+        head, whole = get_list(port)
         assert head.status == 200 and whole["kind"] == "full" and len(whole["engines"]) == 11
         at = f"?after={whole['version']}&origin={whole['origin']}"
         began = time.monotonic()
-        assert ask(port, f"{at}&wait_ms=150")[0].status == 204 and 0.1 < time.monotonic() - began < 2.0
-        heard: list[Any] = []
-        poll = threading.Thread(target=lambda: heard.append(ask(port, f"{at}&wait_ms=8000")))
+        assert get_list(port, f"{at}&wait_ms=150")[0].status == 204 and 0.1 < time.monotonic() - began < 2.0
+        received: list[Any] = []
+        poll = threading.Thread(target=lambda: received.append(get_list(port, f"{at}&wait_ms=8000")))
         poll.start()
-        assert wait_for(lambda: made.answers["unchanged"] == 1 and len(made._long_polls) == 1)
+        assert wait_for(lambda: running.answers["unchanged"] == 1 and len(running._long_polls) == 1)
         assert put(port, [line("b", state="removed"), line("c")], "PATCH")[0] == 200
         poll.join(5.0)
-        document = heard[0][1]
+        document = received[0][1]
         assert document["kind"] == "changes" and document["after"] == whole["version"]
         assert {e["name"]: e.get("state") for e in document["engines"]} == {"b": "removed", "c": None}
 
 
-def test_too_many_are_sent_away_with_a_time_to_come_again(tmp_path: Path) -> None:
+def test_excess_requests_are_rejected_with_retry_after(tmp_path: Path) -> None:
     with service(tmp_path, lists_per_second=2.0, waiting=2.0) as (_, port):
         put(port, [line("a")])
         answers: list[http1.ResponseHead] = []
-        threads = [threading.Thread(target=lambda n=n: answers.append(ask(port, node=f"n{n}")[0])) for n in range(8)]
+        threads = [
+            threading.Thread(target=lambda n=n: answers.append(get_list(port, node=f"n{n}")[0])) for n in range(8)
+        ]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join(10.0)
-        away = [int(a.headers.get("retry-after")) for a in answers if a.status == 503]
-        assert len(answers) == 8 and len(away) == 5 and min(away) >= 2 and len(set(away)) >= 2
+        retry_after = [int(a.headers.get("retry-after")) for a in answers if a.status == 503]
+        assert len(answers) == 8 and len(retry_after) == 5 and min(retry_after) >= 2 and len(set(retry_after)) >= 2
 
 
-def test_a_restart_goes_on_counting_and_an_old_state_put_back_begins_another_history(tmp_path: Path) -> None:
-    with service(tmp_path) as (made, port):
+def test_a_restart_continues_the_versions_and_a_restored_old_state_starts_another_history(tmp_path: Path) -> None:
+    with service(tmp_path) as (running, port):
         put(port, [line("a")])
-        _, first = ask(port)
+        _, first = get_list(port)
         old = (tmp_path / FILE).read_bytes()
         put(port, [line("a"), line("b")])
-        _, second = ask(port)
+        _, second = get_list(port)
         assert second["version"] == first["version"] + 1
-    with service(tmp_path) as (made, port):
-        head, _ = ask(port, f"?after={second['version']}&origin={second['origin']}")
+    with service(tmp_path) as (running, port):
+        head, _ = get_list(port, f"?after={second['version']}&origin={second['origin']}")
         assert head.status == 204
     (tmp_path / FILE).write_bytes(old)
-    with service(tmp_path) as (made, port):
-        _, third = ask(port, f"?after={second['version']}&origin={second['origin']}")
+    with service(tmp_path) as (running, port):
+        _, third = get_list(port, f"?after={second['version']}&origin={second['origin']}")
         assert third["origin"] != second["origin"] and third["version"] == second["version"] + 1
-        assert [e["name"] for e in third["engines"]] == ["a"] and made.history.origin == third["origin"]
-    with service(tmp_path) as (made, port):
-        assert made.history.origin == third["origin"]
+        assert [e["name"] for e in third["engines"]] == ["a"] and running.history.origin == third["origin"]
+    with service(tmp_path) as (running, port):
+        assert running.history.origin == third["origin"]
 
 
-def made_waits(made: Service) -> bool:
-    return len(made._long_polls) == 1
+def has_waiting_poll(running: Service) -> bool:
+    return len(running._long_polls) == 1
 
 
-def test_a_service_that_was_given_no_list_tells_none_and_who_waits_hears_the_first(tmp_path: Path) -> None:
+def test_a_service_without_a_list_answers_503_and_waiting_polls_receive_the_first_list(tmp_path: Path) -> None:
     for folder, first in ((tmp_path / "a", [line("r0")]), (tmp_path / "b", [])):
-        with service(folder) as (made, port):
-            head, body = ask(port)
+        with service(folder) as (running, port):
+            head, body = get_list(port)
             assert head.status == 503 and head.headers.get("retry-after") == "1" and "no list" in body["error"]
             status, refused = put(port, [line("x")], "PATCH")
             assert status == 400 and "PUT one" in refused["error"]
-        with service(folder) as (made, port):  # nor after a restart
-            heard: list[Any] = []
-            poll = threading.Thread(target=lambda to, at: to.append(ask(at, "?wait_ms=8000")), args=(heard, port))
+        with service(folder) as (running, port):  # nor after a restart
+            received: list[Any] = []
+            poll = threading.Thread(
+                target=lambda to, at: to.append(get_list(at, "?wait_ms=8000")), args=(received, port)
+            )
             poll.start()
-            assert wait_for(partial(made_waits, made))
+            assert wait_for(partial(has_waiting_poll, running))
             put(port, first)
             poll.join(5.0)
-            assert heard[0][0].status == 200 and len(heard[0][1]["engines"]) == len(first)
-        with service(folder) as (made, port):
-            assert ask(port)[0].status == 200
+            assert received[0][0].status == 200 and len(received[0][1]["engines"]) == len(first)
+        with service(folder) as (running, port):
+            assert get_list(port)[0].status == 200
 
 
-def test_a_watched_file_is_followed_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
+def test_a_watched_file_is_reloaded_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "engines.json"
     path.write_text(json.dumps({"engines": [line("a")]}))
-    with service(tmp_path / "state", may_put=False, file=str(path), poll_ms=10) as (made, port):
-        version = ask(port)[1]["version"]
-        for wrong in ('{"engines": [{"name": "x"}]}', "{", '{"engines": [{"name": "x", "address": "y", "kind": "z"}]}'):
-            path.write_text(wrong)
+    with service(tmp_path / "state", may_put=False, file=str(path), poll_ms=10) as (running, port):
+        version = get_list(port)[1]["version"]
+        for invalid in (
+            '{"engines": [{"name": "x"}]}',
+            "{",
+            '{"engines": [{"name": "x", "address": "y", "kind": "z"}]}',
+        ):
+            path.write_text(invalid)
             time.sleep(0.05)
-        assert ask(port)[1]["version"] == version
+        assert get_list(port)[1]["version"] == version
         path.write_text(json.dumps({"engines": [line("a"), line("b")]}))
-        assert wait_for(lambda: made.history.version == version + 1)
+        assert wait_for(lambda: running.history.version == version + 1)
         assert put(port, [])[0] == 405
 
 
 @pytest.mark.parametrize("query,status", [("?after=x", 400), ("?wait_ms=1e9", 400), ("?after=-7&origin=%00", 200),
                                           ("?after=99999999999999999999999&origin=h", 200)])  # fmt: skip
-def test_odd_questions_get_plain_answers(tmp_path: Path, query: str, status: int) -> None:
+def test_unusual_requests_get_the_right_status(tmp_path: Path, query: str, status: int) -> None:
     with service(tmp_path) as (_, port):
         put(port, [line("a")])
-        assert ask(port, query)[0].status == status
+        assert get_list(port, query)[0].status == status
         for path, want in (("/health", 200), ("/metrics", 200), ("/x", 404)):
             request = writer.request("GET", path, [("Host", "t")])
             assert call("127.0.0.1", port, request, 5.0)[0] == want
 
 
-def test_a_drain_ends_polls_and_a_full_disk_tells_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    with service(tmp_path) as (made, port):
+def test_a_drain_ends_polls_and_a_full_disk_keeps_the_old_list(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    with service(tmp_path) as (running, port):
         put(port, [line("a")])
-        _, whole = ask(port)
+        _, whole = get_list(port)
 
-        def full(*_: Any) -> None:
+        def fail(*_: Any) -> None:
             raise OSError(28, "No space left on device")
 
-        monkeypatch.setattr("stonetrack.discovery.service.save_state", full)
+        monkeypatch.setattr("stonetrack.discovery.service.save_state", fail)
         status, answer = put(port, [line("b")])
         assert status == 500 and "No space" in answer["error"]
         at = f"?after={whole['version']}&origin={whole['origin']}"
-        assert ask(port, at)[0].status == 204 and ask(port)[1]["engines"][0]["name"] == "a"
+        assert get_list(port, at)[0].status == 204 and get_list(port)[1]["engines"][0]["name"] == "a"
         monkeypatch.undo()
-        heard: list[Any] = []
-        poll = threading.Thread(target=lambda: heard.append(ask(port, f"{at}&wait_ms=20000")[0].status))
+        received: list[Any] = []
+        poll = threading.Thread(target=lambda: received.append(get_list(port, f"{at}&wait_ms=20000")[0].status))
         poll.start()
-        assert wait_for(lambda: len(made._long_polls) == 1)
+        assert wait_for(lambda: len(running._long_polls) == 1)
         began = time.monotonic()
-        made.drain()
+        running.drain()
         poll.join(5.0)
-        assert heard == [204] and time.monotonic() - began < 3.0
+        assert received == [204] and time.monotonic() - began < 3.0
 
 
-def test_settings_that_cannot_be_used_say_what_is_allowed(tmp_path: Path) -> None:
+def test_invalid_settings_report_what_is_allowed(tmp_path: Path) -> None:
     path = tmp_path / "lists.json"
-    for text, said in (('{"state_dir": "s"}', "either a file"), ('{"state_dir": "s", "fil": "x"}', "fil"),
+    for text, logged in (('{"state_dir": "s"}', "either a file"), ('{"state_dir": "s", "fil": "x"}', "fil"),
                        ('{"state_dir": "s", "file": "x", "waiting": 0}', "waiting")):  # fmt: skip
         path.write_text(text)
-        with pytest.raises(SettingsError, match=said):
+        with pytest.raises(SettingsError, match=logged):
             load_discovery_settings(path)
