--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -106,7 +106,7 @@
     assert document is not None and b"removed" in document.body
 
 
-# AdmissionQueue.
+# Admission control.
 
 
 def test_documents_are_sent_at_the_configured_rate_and_rejected_nodes_get_spread_retry_times() -> None:
@@ -325,8 +325,8 @@
 
 def test_invalid_settings_report_what_is_allowed(tmp_path: Path) -> None:
     path = tmp_path / "lists.json"
-    for text, logged in (('{"state_dir": "s"}', "either a file"), ('{"state_dir": "s", "fil": "x"}', "fil"),
+    for text, message in (('{"state_dir": "s"}', "either a file"), ('{"state_dir": "s", "fil": "x"}', "fil"),
                        ('{"state_dir": "s", "file": "x", "waiting": 0}', "waiting")):  # fmt: skip
         path.write_text(text)
-        with pytest.raises(SettingsError, match=logged):
+        with pytest.raises(SettingsError, match=message):
             load_discovery_settings(path)
