--- a/stonetrack/discovery/service.py
+++ b/stonetrack/discovery/service.py
@@ -72,8 +72,8 @@
     def __init__(self, settings: DiscoverySettings, listener: socket, log: Log) -> None:
         self.settings, self._log = settings, log
         self._folder = Path(settings.state_dir)
-        self.history, owner, self._given = load_state(self._folder, lambda: int(wall_time()), settings.versions)
-        self._fence = Fence("the list", owner)
+        self.history, leader, self._given = load_state(self._folder, lambda: int(wall_time()), settings.versions)
+        self._fence = Fence("the list", leader)
         self._persist(self.history.origin, self.history.version, self.history.lines)
         self._admission = AdmissionQueue(settings.lists_per_second, settings.waiting)
         self._lock = threading.Lock()
@@ -112,12 +112,12 @@
 
     # The list.
 
-    def put(self, lines: Iterable[Mapping[str, Any]], whole: bool, owner: Token | None = None) -> int:
+    def put(self, lines: Iterable[Mapping[str, Any]], whole: bool, leader: Token | None = None) -> int:
         """Apply a list, or changes; returns how many engines changed.  Raises LinesError, OSError, FencingError."""
         with self._lock:
             if not whole and not self._given:
                 raise LinesError("no list was given yet: changes to nothing would be the whole list; PUT one")
-            self._fence.admit(owner, lambda token: self._persist_with(self.history, token))
+            self._fence.admit(leader, lambda token: self._persist_with(self.history, token))
             was_given, self._given = self._given, True
             try:
                 changed = self.history.put(lines, self._persist) if whole else self.history.change(lines, self._persist)
@@ -126,8 +126,8 @@
             except BaseException:
                 self._given = was_given
                 raise
-            if owner is not None:  # under the lock, so that the log has the order of the effects
-                self._log("effect", term=owner.term, owner=owner.owner, version=self.history.version, changed=changed,
+            if leader is not None:  # under the lock, so that the log has the order of the effects
+                self._log("effect", term=leader.term, owner=leader.owner, version=self.history.version, changed=changed,
                           what="put" if whole else "change", leaving=self._not_up()[:MAX_LOGGED_ENGINES],
                           origin=self.history.origin)  # fmt: skip
         if changed:
@@ -142,8 +142,8 @@
     def _persist(self, origin: str, version: int, lines: Mapping[str, Line]) -> None:
         save_state(self._folder, origin, version, lines, self._fence.known, self._given)
 
-    def _persist_with(self, history: History, owner: Token) -> None:
-        save_state(self._folder, history.origin, history.version, history.lines, owner, self._given)
+    def _persist_with(self, history: History, leader: Token) -> None:
+        save_state(self._folder, history.origin, history.version, history.lines, leader, self._given)
 
     def _read_file(self) -> None:
         path = Path(self.settings.file)
@@ -187,9 +187,9 @@
         connection.write(plain_response(status, body, keep=keep_alive))
         return keep_alive
 
-    def _apply(self, whole: bool, data: bytes, owner: str) -> tuple[int, bytes]:
+    def _apply(self, whole: bool, data: bytes, token: str) -> tuple[int, bytes]:
         try:
-            self.put(parse_lines(data), whole, parse_token(owner))
+            self.put(parse_lines(data), whole, parse_token(token))
         except FencingError as error:
             self.answers["refused"] += 1
             self._warn(str(error))
--- a/stonetrack/discovery/state_file.py
+++ b/stonetrack/discovery/state_file.py
@@ -57,9 +57,9 @@
     return f"h{secrets.token_hex(6)}"
 
 
-def save_state(folder: Path, origin: str, version: int, lines: Mapping[str, Line], owner: Token = NO_TOKEN,
+def save_state(folder: Path, origin: str, version: int, lines: Mapping[str, Line], leader: Token = NO_TOKEN,
          given: bool = True) -> None:  # fmt: skip
     """Write the state.  Raises OSError; the previous state then remains."""
     folder.mkdir(parents=True, exist_ok=True)
-    state = _State(origin, version, [dict(line) for line in lines.values()], owner, given)
+    state = _State(origin, version, [dict(line) for line in lines.values()], leader, given)
     save(folder / FILE, msgspec.json.encode(state))
