--- a/stonetrack/cli/emulators.py
+++ b/stonetrack/cli/emulators.py
@@ -103,9 +103,9 @@
 @click.option("--quiet", is_flag=True, help="No progress.")
 def day_run(file: Path, seed: int, report: Path, quiet: bool) -> None:
     """Run a day and judge the five rules from what passed on the sockets; exit code 1 on a broken rule."""
-    from stonetrack.scenario.run import run_day
+    from stonetrack.scenario.run import run_scenario
 
-    sys.exit(run_day(file, seed, report, progress=not quiet and os.isatty(2)))
+    sys.exit(run_scenario(file, seed, report, progress=not quiet and os.isatty(2)))
 
 
 @day.command("from-bench")
--- a/stonetrack/cli/soak.py
+++ b/stonetrack/cli/soak.py
@@ -12,10 +12,10 @@
 import click
 
 if TYPE_CHECKING:
-    from stonetrack.soak.play import Size
+    from stonetrack.soak.run import RunSize
 
 
-def seeds_of(text: str) -> range:
+def parse_seeds(text: str) -> range:
     """The seeds of ``A:B``, B not among them; of ``A`` alone, that one.  Raises click.BadParameter."""
     first, colon, last = text.partition(":")
     if not first.isdigit() or (colon and not last.isdigit()):
@@ -26,22 +26,22 @@
     return found
 
 
-def play_one(seed: int, size: Size, report: Path, trace: bool) -> tuple[int, str, bool]:
+def run_seed(seed: int, size: RunSize, report: Path, trace: bool) -> tuple[int, str, bool]:
     """Play one seed; its line, and whether it passed.  What passed leaves no logs behind."""
     from stonetrack.soak import report as reporting
-    from stonetrack.soak.play import Play, judged
+    from stonetrack.soak.run import SeedRun, run_with_retries
 
     folder = report / f"seed-{seed}"
-    said: list[str] = []
+    messages: list[str] = []
     try:
-        result = judged(lambda: Play(seed, size, folder, trace=trace), said.append)
+        result = run_with_retries(lambda: SeedRun(seed, size, folder, trace=trace), messages.append)
     except (RuntimeError, OSError) as error:
         return seed, f"seed {seed}: not played: {error}", False
     if result.passed and not trace:
         shutil.rmtree(folder, ignore_errors=True)
     else:
-        reporting.write(result, size, folder)
-    return seed, "\n".join([*said, reporting.line(result)]), result.passed
+        reporting.write_timeline(result, size, folder)
+    return seed, "\n".join([*messages, reporting.summary_line(result)]), result.passed
 
 
 @click.command()
@@ -58,19 +58,19 @@
 )
 def soak(seeds: str, nodes: int, seconds: float, rate: float, jobs: int, trace: bool, report: Path) -> None:
     """Play fleets of real nodes under drawn faults, judged by the invariants; exit code 1 where a seed failed."""
-    from stonetrack.soak.play import Size
+    from stonetrack.soak.run import RunSize
 
-    size = Size(nodes=nodes, seconds=seconds, rate=rate)
-    wanted = seeds_of(seeds)
+    size = RunSize(nodes=nodes, seconds=seconds, rate=rate)
+    selected_seeds = parse_seeds(seeds)
     report.mkdir(parents=True, exist_ok=True)
     passed = failed = 0
     with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
-        plays = [pool.submit(play_one, seed, size, report, trace) for seed in wanted]
-        for play in as_completed(plays):
-            seed, text, well = play.result()
-            passed, failed = passed + well, failed + (not well)
+        futures = [pool.submit(run_seed, seed, size, report, trace) for seed in selected_seeds]
+        for future in as_completed(futures):
+            seed, text, seed_passed = future.result()
+            passed, failed = passed + seed_passed, failed + (not seed_passed)
             click.echo(text)
-            if not well:
+            if not seed_passed:
                 click.echo(f"  see {report / f'seed-{seed}'}")
     click.echo(f"{passed} passed, {failed} failed")
     sys.exit(1 if failed else 0)
--- a/stonetrack/node/obligations.py
+++ b/stonetrack/node/obligations.py
@@ -45,7 +45,7 @@
 LOGIC = "stonetrack.logic:Router."
 LEDGER = "stonetrack.node.invariants:Ledger."
 ORACLE = "stonetrack.soak.oracle:Oracle."
-ENGINES = "stonetrack.soak.engine_side:EngineSide."
+ENGINES = "stonetrack.soak.engine_side:EngineStateRecords."
 
 TABLE: tuple[Row, ...] = (
     Row(
@@ -54,7 +54,7 @@
         "the last byte of its final answer is written, or its client closes or resets the connection",
         "the client's deadline, and 0.5 s in which an answer is useless but no violation",
         (LOGIC + "_refuse_or_fail", "stonetrack.node.request_lifecycle:RequestLifecycle.check_deadlines"),
-        (LEDGER + "check", ORACLE + "_answers"),
+        (LEDGER + "check", ORACLE + "_answer_violations"),
     ),
     Row(
         Obligation.ATTEMPT,
@@ -67,7 +67,7 @@
             "stonetrack.node.request_lifecycle:RequestLifecycle.check_deadlines",
             "stonetrack.engines.attempt:SocketAttempt.abort",
         ),
-        (LEDGER + "may_begin", ORACLE + "_effects"),
+        (LEDGER + "may_begin", ORACLE + "_effect_violations"),
     ),
     Row(
         Obligation.STATE,
@@ -76,7 +76,7 @@
         "decided later",
         "the configured time and 0.3 s after the last attempt that has arrived ended",
         (LOGIC + "_advance", LOGIC + "_release_unproven"),
-        (LEDGER + "check", ORACLE + "_held", ENGINES + "still_held"),
+        (LEDGER + "check", ORACLE + "_held_state_violations", ENGINES + "still_held"),
     ),
     Row(
         Obligation.RESERVATION,
@@ -84,7 +84,7 @@
         "404 or 409 on the call's connection; or any engine's answer to a release that was decided later",
         "the configured time and 0.3 s after the call, since no prefill attempt is known to have arrived",
         (LOGIC + "_probe_decode",),
-        (ORACLE + "_held", ENGINES + "reserve"),
+        (ORACLE + "_held_state_violations", ENGINES + "reserve"),
     ),
     Row(
         Obligation.ABANDONED_READ,
@@ -92,7 +92,7 @@
         "its connection has ended, and its engine has answered a release that was written after it was abandoned",
         "the configured time and 0.3 s after each moment from which its engine may have left a state",
         ("stonetrack.edge.abandoned:AbandonedPrefills._release_due",),
-        (ORACLE + "_held", ENGINES + "read"),
+        (ORACLE + "_held_state_violations", ENGINES + "prefill_completed"),
     ),
     Row(
         Obligation.RELEASE,
@@ -108,7 +108,7 @@
         "no attempt begins at the engine any more",
         "the configured grace period",
         ("stonetrack.node.core:Core.may_send", "stonetrack.edge.watch:DiscoveryWatch"),
-        (LEDGER + "may_begin", ORACLE + "_drains"),
+        (LEDGER + "may_begin", ORACLE + "_drain_violations"),
     ),
 )
 
--- a/stonetrack/scenario/page.py
+++ b/stonetrack/scenario/page.py
@@ -9,7 +9,7 @@
 
 from stonetrack.fleet.judge import quantile
 from stonetrack.pages.style import STYLE, as_svg, table
-from stonetrack.scenario.played import Played
+from stonetrack.scenario.result import ScenarioResult
 
 SECOND = 1e9
 _COLOURS = {
@@ -33,19 +33,19 @@
 }
 
 
-def _plot(played: Played) -> str:
+def _plot(result: ScenarioResult) -> str:
     import matplotlib
 
     matplotlib.use("svg")
     import matplotlib.pyplot as plt
 
-    start, seconds = played.start, played.day.seconds
+    load_started, seconds = result.load_started, result.scenario.seconds
     bins = max(10, int(seconds * 2))
     width = seconds / bins
     figure, axes = plt.subplots(3, 1, figsize=(11, 8.2), sharex=True, height_ratios=[2, 2, 1.3], layout="constrained")
     counts: dict[str, list[int]] = defaultdict(lambda: [0] * bins)
-    for s in played.seen:
-        slot = min(bins - 1, max(0, int((s.sent - start) / SECOND / width)))
+    for s in result.client_records:
+        slot = min(bins - 1, max(0, int((s.sent - load_started) / SECOND / width)))
         counts[s.ended][slot] += 1
     xs = [(n + 0.5) * width for n in range(bins)]
     order = [name for name in _COLOURS if name in counts]
@@ -59,9 +59,11 @@
         )
         axes[0].legend(loc="lower left", bbox_to_anchor=(0, 0.98), ncol=len(order), fontsize=8, frameon=False)
     axes[0].set_ylabel("requests a second,\nby how they ended")
-    for cls, colour in zip(played.verdict.service_by_class, ("#1f5fa8", "#c25b12", "#5b8c2a", "#7a4fa3"), strict=False):
+    for cls, colour in zip(result.verdict.service_by_class, ("#1f5fa8", "#c25b12", "#5b8c2a", "#7a4fa3"), strict=False):
         points = [
-            ((s.sent - start) / SECOND, (s.first - s.sent) / SECOND) for s in played.seen if s.cls == cls and s.first
+            ((s.sent - load_started) / SECOND, (s.first - s.sent) / SECOND)
+            for s in result.client_records
+            if s.cls == cls and s.first
         ]
         axes[1].scatter(
             [x for x, _ in points], [max(y, 1e-4) for _, y in points], s=5, color=colour, label=cls, alpha=0.6
@@ -69,8 +71,8 @@
     axes[1].set_yscale("log")
     axes[1].set_ylabel("first token\nafter (s)")
     axes[1].legend(loc="lower left", bbox_to_anchor=(0, 0.98), fontsize=8, frameon=False, ncol=4)
-    lanes = sorted({what for _, what, _ in played.troubles})
-    for at, what, engine in played.troubles:
+    lanes = sorted({what for _, what, _ in result.injected_faults})
+    for at, what, engine in result.injected_faults:
         lane = lanes.index(what)
         axes[2].plot([at], [lane], "v", color="#b3261e", markersize=6)
         axes[2].annotate(engine, (at, lane), fontsize=6, xytext=(4, -2), textcoords="offset points", color="#555")
@@ -84,28 +86,28 @@
     return as_svg(figure)
 
 
-def _story(played: Played, request: str) -> list[list[Any]]:
+def _request_events(result: ScenarioResult, request: str) -> list[list[Any]]:
     """All that passed for one request, in order."""
     rows = []
-    for s in played.seen:
+    for s in result.client_records:
         if s.request == request:
             rows.append((s.sent, "client", f"sent ({s.how}, {s.cls}, {s.behaviour}, try {s.retry + 1})"))
             if s.head:
                 rows.append((s.head, "client", f"head {s.status} from {s.instance}"))
             rows.append((s.end, "client", f"{s.ended} {s.why}"))
-    for r in played.log:
+    for r in result.engine_log:
         if r.get("id") == request:
             rest = " ".join(
                 f"{k}={v}" for k, v in r.items() if k not in ("t", "what", "id", "engine", "key") and v != ""
             )
             rows.append((r["t"], r["engine"], f"{r['what']} {rest}"))
     rows.sort()
-    return [[f"{(t - played.start) / SECOND:.4f}", who, text] for t, who, text in rows]
+    return [[f"{(t - result.load_started) / SECOND:.4f}", who, text] for t, who, text in rows]
 
 
-def write_page(played: Played, folder: Path) -> Path:
+def write_page(result: ScenarioResult, folder: Path) -> Path:
     """Write ``report.html``; where it is."""
-    verdict, day = played.verdict, played.day
+    verdict, scenario = result.verdict, result.scenario
     broken: dict[int, int] = defaultdict(int)
     for breach in verdict.breaches:
         broken[breach.rule] += 1
@@ -118,28 +120,30 @@
     )
     by_class = []
     for name, service in verdict.service_by_class.items():
-        firsts = [
-            (s.first - s.sent) / SECOND for s in played.seen if s.cls == name and s.first and s.behaviour == "normal"
+        first_token_seconds = [
+            (s.first - s.sent) / SECOND
+            for s in result.client_records
+            if s.cls == name and s.first and s.behaviour == "normal"
         ]
-        mine = [s for s in played.seen if s.cls == name]
+        class_records = [s for s in result.client_records if s.cls == name]
         by_class.append(
             [
                 name,
-                len(mine),
+                len(class_records),
                 f"{service:.3f}",
-                f"{quantile(firsts, 0.5):.3f}",
-                f"{quantile(firsts, 0.99):.3f}",
-                sum(s.ended == "served" for s in mine),
-                sum(s.ended == "refused" for s in mine),
-                sum(s.ended in ("failed", "broken") for s in mine),
+                f"{quantile(first_token_seconds, 0.5):.3f}",
+                f"{quantile(first_token_seconds, 0.99):.3f}",
+                sum(s.ended == "served" for s in class_records),
+                sum(s.ended == "refused" for s in class_records),
+                sum(s.ended in ("failed", "broken") for s in class_records),
             ]
         )
     parts = [
         "<!doctype html><html lang=en><meta charset=utf-8>",
-        f"<title>{html.escape(day.name)}, seed {played.seed}</title>",
-        f"<style>{STYLE}</style><h1>{html.escape(day.name)}, seed {played.seed}</h1>",
-        f"<p class=quiet>{day.instances} instances, {len(day.engines)} stand-in engines, {verdict.counts['requests']} requests in "
-        f"{day.seconds:g} s, {verdict.counts['attempts']} attempts. Judged from what passed on client and engine sockets.</p>",
+        f"<title>{html.escape(scenario.name)}, seed {result.seed}</title>",
+        f"<style>{STYLE}</style><h1>{html.escape(scenario.name)}, seed {result.seed}</h1>",
+        f"<p class=quiet>{scenario.instances} instances, {len(scenario.engines)} stand-in engines, {verdict.counts['requests']} requests in "
+        f"{scenario.seconds:g} s, {verdict.counts['attempts']} attempts. Judged from what passed on client and engine sockets.</p>",
         f"<p>{'<span class=good>Every rule was kept.</span>' if verdict.kept else '<span class=bad>Rules were broken.</span>'} "
         f"Service {verdict.service:.3f}. {verdict.excused} requests or states were excused, held by an instance that was killed.</p>",
         "<h2>Rules</h2><table><tr><th class=n></th><th>Rule</th><th></th>"
@@ -151,27 +155,30 @@
             set(range(1, 8)),
         ),
         "<h2>The day</h2>",
-        _plot(played),
+        _plot(result),
     ]
     if verdict.breaches:
         parts.append("<h2>Breaches</h2>")
         parts.append(
             table(
                 ["rule", "at (s)", "request", "what"],
-                [[b.rule, f"{(b.at - played.start) / SECOND:.3f}", b.request, b.text] for b in verdict.breaches[:100]],
+                [
+                    [b.rule, f"{(b.at - result.load_started) / SECOND:.3f}", b.request, b.text]
+                    for b in verdict.breaches[:100]
+                ],
                 {0, 1},
             )
         )
         for request in list(dict.fromkeys(b.request for b in verdict.breaches if b.request))[:5]:
             parts.append(f"<h2>What passed for <code>{html.escape(request)}</code></h2>")
-            parts.append(table(["s", "where", "what"], _story(played, request), {0}))
-    slowest = sorted((s for s in played.seen if s.first and s.behaviour == "normal"), key=lambda s: s.sent - s.first)[
-        :3
-    ]
+            parts.append(table(["s", "where", "what"], _request_events(result, request), {0}))
+    slowest = sorted(
+        (s for s in result.client_records if s.first and s.behaviour == "normal"), key=lambda s: s.sent - s.first
+    )[:3]
     for s in slowest:
         took = (s.first - s.sent) / SECOND
         parts.append(f"<h2>Slow: <code>{html.escape(s.request)}</code>, first token after {took:.3f} s</h2>")
-        parts.append(table(["s", "where", "what"], _story(played, s.request), {0}))
+        parts.append(table(["s", "where", "what"], _request_events(result, s.request), {0}))
     path = folder / "report.html"
     path.write_text("\n".join(parts), "utf-8")
     return path
--- a/stonetrack/scenario/played.py
+++ b/stonetrack/scenario/result.py
@@ -7,21 +7,21 @@
 
 from stonetrack.fleet.load import Seen
 from stonetrack.fleet.rules import Kill, Verdict
-from stonetrack.scenario.script import Day
+from stonetrack.scenario.script import Scenario
 
 
 @dataclass
-class Played:
+class ScenarioResult:
     """A day that was played."""
 
-    day: Day
+    scenario: Scenario
     seed: int
-    seen: list[Seen]
-    log: list[dict[str, Any]]
+    client_records: list[Seen]
+    engine_log: list[dict[str, Any]]
     kills: list[Kill]
-    troubles: list[tuple[float, str, str]]
-    start: int
+    injected_faults: list[tuple[float, str, str]]
+    load_started: int
     verdict: Verdict
-    node_exit: int | None
+    node_exit_code: int | None
     failed_steps: list[str]
-    waited: float = 0.0  # share of the time in which work waited for a processor
+    processor_wait_share: float = 0.0  # share of the time in which work waited for a processor
--- a/stonetrack/scenario/script.py
+++ b/stonetrack/scenario/script.py
@@ -21,11 +21,11 @@
 from stonetrack.settings.check import Problem
 from stonetrack.settings.schema import Strict
 
-INSTANCE_TROUBLES = ("kill", "reload")
-LOAD_TROUBLES = ("burst", "new_beginning")
+INSTANCE_FAULTS = ("kill", "reload")
+LOAD_FAULTS = ("burst", "new_beginning")
 
 
-class Trouble(Strict, frozen=True, kw_only=True):
+class ScheduledFault(Strict, frozen=True, kw_only=True):
     """One trouble; what else it needs stands in ``args``."""
 
     at_ms: int
@@ -38,7 +38,7 @@
     args: dict[str, Any] = {}
 
 
-class Day(Strict, frozen=True, kw_only=True):
+class Scenario(Strict, frozen=True, kw_only=True):
     """A whole day."""
 
     name: str
@@ -46,49 +46,49 @@
     instances: Annotated[int, Meta(ge=1, le=64)] = 3
     engines: tuple[Spec, ...]
     clients: Clients
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[ScheduledFault, ...] = ()
     list_delay_ms: float = 300.0
     settings: dict[str, Any] = {}
     seed_offset: int = 0
 
 
-def load_day(path: Path) -> Day:
+def load_scenario(path: Path) -> Scenario:
     """A day from a file.  Raises SettingsError naming what is wrong and what is allowed."""
-    day = decode(evaluate(path), Day, str(path))
-    wrong = list(_problems(day))
-    if wrong:
-        raise SettingsError(wrong, str(path))
-    return day
-
-
-def _problems(day: Day) -> list[Problem]:
-    wrong = []
-    names = {spec.name for spec in day.engines}
-    allowed = (*FAULTS, *INSTANCE_TROUBLES, *LOAD_TROUBLES)
-    for n, trouble in enumerate(day.troubles):
+    scenario = decode(evaluate(path), Scenario, str(path))
+    problems = list(_problems(scenario))
+    if problems:
+        raise SettingsError(problems, str(path))
+    return scenario
+
+
+def _problems(scenario: Scenario) -> list[Problem]:
+    problems = []
+    names = {spec.name for spec in scenario.engines}
+    allowed = (*FAULTS, *INSTANCE_FAULTS, *LOAD_FAULTS)
+    for n, fault in enumerate(scenario.troubles):
         at = f"$.troubles[{n}]"
-        if trouble.what not in allowed:
-            wrong.append(Problem(f"{at}.what", trouble.what, ", ".join(allowed)))
-        for engine in trouble.engines:
+        if fault.what not in allowed:
+            problems.append(Problem(f"{at}.what", fault.what, ", ".join(allowed)))
+        for engine in fault.engines:
             if engine not in names:
-                wrong.append(Problem(f"{at}.engines", engine, ", ".join(sorted(names))))
-        if trouble.what == "kill" and trouble.instance >= day.instances:
-            wrong.append(Problem(f"{at}.instance", trouble.instance, f"0 to {day.instances - 1}"))
-    if len(names) != len(day.engines):
-        wrong.append(Problem("$.engines", "a name that stands twice", "each name once"))
-    return wrong
+                problems.append(Problem(f"{at}.engines", engine, ", ".join(sorted(names))))
+        if fault.what == "kill" and fault.instance >= scenario.instances:
+            problems.append(Problem(f"{at}.instance", fault.instance, f"0 to {scenario.instances - 1}"))
+    if len(names) != len(scenario.engines):
+        problems.append(Problem("$.engines", "a name that stands twice", "each name once"))
+    return problems
 
 
-def plan(day: Day, seed: int) -> list[Step]:
+def plan(scenario: Scenario, seed: int) -> list[Step]:
     """The day's troubles in order of time, picks and jitter drawn by the seed."""
-    draw = random.Random(f"{day.name}/{seed}")
+    draw = random.Random(f"{scenario.name}/{seed}")
     steps = []
-    for trouble in day.troubles:
-        at = (trouble.at_ms + draw.uniform(-1.0, 1.0) * trouble.jitter_ms) / 1_000.0
-        picked: list[str] = list(trouble.engines)
-        if trouble.what in FAULTS and trouble.what != "list_late" and not picked:
-            pool = [s.name for s in day.engines if trouble.role is None or s.role is trouble.role]
-            picked = draw.sample(pool, min(trouble.count, len(pool)))
+    for fault in scenario.troubles:
+        at = (fault.at_ms + draw.uniform(-1.0, 1.0) * fault.jitter_ms) / 1_000.0
+        picked: list[str] = list(fault.engines)
+        if fault.what in FAULTS and fault.what != "list_late" and not picked:
+            pool = [s.name for s in scenario.engines if fault.role is None or s.role is fault.role]
+            picked = draw.sample(pool, min(fault.count, len(pool)))
         for engine in picked or [""]:
-            steps.append(Step(max(at, 0.0), trouble.what, engine, trouble.instance, dict(trouble.args)))
+            steps.append(Step(max(at, 0.0), fault.what, engine, fault.instance, dict(fault.args)))
     return sorted(steps, key=lambda step: step.at)
--- a/stonetrack/soak/engine_side.py
+++ b/stonetrack/soak/engine_side.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class HeldKind(Enum):
     """What may be held for a request."""
 
     STATE = "state"
@@ -22,10 +22,10 @@
     """How an attempt ended as its engine sees it."""
 
     ANSWERED = "answered"  # whole, to its last byte
-    TURNED_AWAY = "turned away"  # never ran
+    REJECTED = "turned away"  # never ran
     FAILED = "failed"  # an error, a reset, a spoilt stream: its effect may have happened
-    GIVEN_UP = "given up"  # the node closed the connection
-    ENGINE_GONE = "engine gone"
+    CANCELLED = "given up"  # the node closed the connection
+    ENGINE_STOPPED = "engine gone"
 
 
 @dataclass(slots=True, eq=False)
@@ -34,22 +34,22 @@
 
     request: str
     engine: str
-    decodes: bool
-    at: int
+    is_decode: bool
+    arrived_at: int
     port: int  # the connection's other end, by which the link that carried it is found
-    time_told: int  # nanoseconds
+    sent_time_left: int  # nanoseconds
     ended: int = 0
     end: End | None = None
     first_event: int = 0
-    took_state: bool = False  # the state that it waits for is not held by anyone any more
+    consumed_state: bool = False  # the state that it waits for is not held by anyone any more
 
 
 @dataclass(frozen=True, slots=True)
-class Stay:
+class HeldState:
     """One state or reservation, from when its clock began to run to when it was taken or released."""
 
     request: str
-    kind: Kind
+    kind: HeldKind
     engine: str
     since: int
     until: int  # 0: still held at the end
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class _Held:
-    kind: Kind
+    kind: HeldKind
     engine: str
     since: int  # when its clock began to run; 0 while an attempt that has arrived is out
 
@@ -65,91 +65,93 @@
 @dataclass(slots=True)
 class _Request:
     held: list[_Held] = field(default_factory=list)
-    out: list[Arrival] = field(default_factory=list)
-    reading: set[Arrival] = field(default_factory=set)  # reads, given up or not, that will leave a state: none released
+    open_attempts: list[Arrival] = field(default_factory=list)
+    running_prefills: set[Arrival] = field(default_factory=set)  # will leave a state
 
 
-class EngineSide:
+class EngineStateRecords:
     """The books of all engines together."""
 
     def __init__(self) -> None:
         self.arrivals: list[Arrival] = []
-        self.stays: list[Stay] = []
+        self.history: list[HeldState] = []
         self._requests: dict[str, _Request] = {}
 
-    def arrived(self, arrival: Arrival) -> bool:
+    def attempt_arrived(self, arrival: Arrival) -> bool:
         """An attempt has arrived; whether the state that a decode attempt needs is there."""
         self.arrivals.append(arrival)
         request = self._requests.setdefault(arrival.request, _Request())
-        request.out.append(arrival)
-        self._stop_clocks(arrival.request, request, arrival.at)
-        if not arrival.decodes:
-            request.reading.add(arrival)
+        request.open_attempts.append(arrival)
+        self._stop_clocks(arrival.request, request, arrival.arrived_at)
+        if not arrival.is_decode:
+            request.running_prefills.add(arrival)
             return True
-        states = [held for held in request.held if held.kind is Kind.STATE]
-        arrival.took_state = bool(states)
+        states = [held for held in request.held if held.kind is HeldKind.STATE]
+        arrival.consumed_state = bool(states)
         for held in list(request.held):  # the reservation elsewhere is given up by the send
             request.held.remove(held)
-        return arrival.took_state
+        return arrival.consumed_state
 
-    def ended(self, arrival: Arrival, at: int, end: End, state_kept: bool = False, reads_on: bool = False) -> None:
+    def attempt_ended(
+        self, arrival: Arrival, at: int, end: End, state_retained: bool = False, prefill_continues: bool = False
+    ) -> None:
         """An attempt has ended; ``state_kept`` where it had not fetched the state yet, which waits again; ``reads_on``
         where its prompt is read to the end all the same."""
         if arrival.ended:
             return
         arrival.ended, arrival.end = at, end
         request = self._requests[arrival.request]
-        request.out.remove(arrival)
-        if not reads_on:
-            request.reading.discard(arrival)
-        if state_kept and arrival.took_state:
-            request.held.append(_Held(Kind.STATE, arrival.engine, 0))
+        request.open_attempts.remove(arrival)
+        if not prefill_continues:
+            request.running_prefills.discard(arrival)
+        if state_retained and arrival.consumed_state:
+            request.held.append(_Held(HeldKind.STATE, arrival.engine, 0))
         self._start_clocks(request, at)
 
-    def read(self, arrival: Arrival, at: int) -> bool:
+    def prefill_completed(self, arrival: Arrival, at: int) -> bool:
         """A prefill attempt has read its prompt: its state waits.  False where a release had taken it meanwhile.
 
         Owed: ``Obligation.ABANDONED_READ``."""
         request = self._requests[arrival.request]
-        if arrival not in request.reading:
+        if arrival not in request.running_prefills:
             return False
-        request.reading.discard(arrival)
-        request.held.append(_Held(Kind.STATE, arrival.engine, 0 if request.out else at))
+        request.running_prefills.discard(arrival)
+        request.held.append(_Held(HeldKind.STATE, arrival.engine, 0 if request.open_attempts else at))
         return True
 
     def reserve(self, request: str, engine: str, at: int) -> None:
         """A reservation is made; an earlier one elsewhere is given up.  Owed: ``Obligation.RESERVATION``."""
-        known = self._requests.setdefault(request, _Request())
-        for held in [held for held in known.held if held.kind is Kind.RESERVATION]:
-            known.held.remove(held)
-        known.held.append(_Held(Kind.RESERVATION, engine, 0 if known.out else at))
+        entry = self._requests.setdefault(request, _Request())
+        for held in [held for held in entry.held if held.kind is HeldKind.RESERVATION]:
+            entry.held.remove(held)
+        entry.held.append(_Held(HeldKind.RESERVATION, engine, 0 if entry.open_attempts else at))
 
-    def release(self, request: str, at: int, takes_reads: bool = True) -> None:
+    def release(self, request: str, at: int, includes_running_prefills: bool = True) -> None:
         """All that no attempt waits for is released, with ``takes_reads`` also what prefill attempts will leave.
 
         Owed: ``Obligation.RELEASE``."""
-        known = self._requests.get(request)
-        if known is None:
+        entry = self._requests.get(request)
+        if entry is None:
             return
-        if takes_reads:
-            known.reading.clear()
-        self._stop_clocks(request, known, at)
-        known.held.clear()
+        if includes_running_prefills:
+            entry.running_prefills.clear()
+        self._stop_clocks(request, entry, at)
+        entry.held.clear()
 
-    def engine_gone(self, engine: str, at: int) -> None:
+    def engine_stopped(self, engine: str, at: int) -> None:
         """An engine's process has ended, with all that it held."""
         for name, request in self._requests.items():
-            for arrival in [each for each in request.out if each.engine == engine]:
-                self.ended(arrival, at, End.ENGINE_GONE)
-            request.reading -= {each for each in request.reading if each.engine == engine}
+            for arrival in [each for each in request.open_attempts if each.engine == engine]:
+                self.attempt_ended(arrival, at, End.ENGINE_STOPPED)
+            request.running_prefills -= {each for each in request.running_prefills if each.engine == engine}
             for held in [each for each in request.held if each.engine == engine]:
-                self._close(name, held, at)
+                self._add_held_record(name, held, at)
                 request.held.remove(held)
 
-    def still_held(self) -> list[Stay]:
+    def still_held(self) -> list[HeldState]:
         """What is held with its clock running.  Owed: ``Obligation.STATE``."""
         return [
-            Stay(name, held.kind, held.engine, held.since, 0)
+            HeldState(name, held.kind, held.engine, held.since, 0)
             for name, request in self._requests.items()
             for held in request.held
             if held.since
@@ -157,14 +159,14 @@
 
     def _stop_clocks(self, name: str, request: _Request, at: int) -> None:
         for held in request.held:
-            self._close(name, held, at)
+            self._add_held_record(name, held, at)
             held.since = 0
 
     def _start_clocks(self, request: _Request, at: int) -> None:
-        if not request.out:
+        if not request.open_attempts:
             for held in request.held:
                 held.since = held.since or at
 
-    def _close(self, name: str, held: _Held, at: int) -> None:
+    def _add_held_record(self, name: str, held: _Held, at: int) -> None:
         if held.since:
-            self.stays.append(Stay(name, held.kind, held.engine, held.since, at))
+            self.history.append(HeldState(name, held.kind, held.engine, held.since, at))
--- a/stonetrack/soak/faults.py
+++ b/stonetrack/soak/faults.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from stonetrack.soak.platform import Trouble
+from stonetrack.soak.platform import EngineFault
 
 
-class Kind(Enum):
+class FaultKind(Enum):
     """One kind of fault; the text stands in timelines."""
 
     ENGINE_SILENT = "nothing passes to or from an engine; the kernel takes the bytes"
@@ -39,16 +39,17 @@
 
 
 WEIGHTS = {
-    Kind.ENGINE_SILENT: 3, Kind.ROLE_SILENT: 3, Kind.KEPT_SILENT: 3, Kind.ONE_WAY_THERE: 2, Kind.ONE_WAY_BACK: 2,
-    Kind.UNREACHABLE: 2, Kind.SLOW_LINK: 1, Kind.BREAKS_IN_ANSWER: 1, Kind.RESETS: 2, Kind.KILL_ENGINE: 2,
-    Kind.TROUBLE: 6, Kind.DRAIN: 1, Kind.DISCOVERY_SILENT: 1, Kind.WATCH_SILENT: 1, Kind.TERM: 2, Kind.KILL_NODE: 1,
-    Kind.HUP: 1, Kind.STOP_NODE: 1, Kind.CROWD: 2, Kind.KEPT_SILENT_FOR_GOOD: 1,
+    FaultKind.ENGINE_SILENT: 3, FaultKind.ROLE_SILENT: 3, FaultKind.KEPT_SILENT: 3, FaultKind.ONE_WAY_THERE: 2,
+    FaultKind.ONE_WAY_BACK: 2, FaultKind.UNREACHABLE: 2, FaultKind.SLOW_LINK: 1, FaultKind.BREAKS_IN_ANSWER: 1,
+    FaultKind.RESETS: 2, FaultKind.KILL_ENGINE: 2, FaultKind.TROUBLE: 6, FaultKind.DRAIN: 1,
+    FaultKind.DISCOVERY_SILENT: 1, FaultKind.WATCH_SILENT: 1, FaultKind.TERM: 2, FaultKind.KILL_NODE: 1,
+    FaultKind.HUP: 1, FaultKind.STOP_NODE: 1, FaultKind.CROWD: 2, FaultKind.KEPT_SILENT_FOR_GOOD: 1,
 }  # fmt: skip
-SHORTEST, LONGEST = 0.4, 5.0  # seconds that a fault lasts
-ROLE_SHARE = 0.75  # of a role's engines that fall silent together
-EACH_SECOND = 0.7  # faults begun a second
-CROWD_LEAST, CROWD_MOST = 100, 500  # connections: some of what a node has for its clients, and more than it has
-QUIET_BEFORE, QUIET_AFTER = 1.5, 1.0  # seconds of the load without faults
+MIN_SECONDS, MAX_SECONDS = 0.4, 5.0  # seconds that a fault lasts
+SILENT_ROLE_SHARE = 0.75  # of a role's engines that fall silent together
+FAULTS_PER_SECOND = 0.7  # faults begun a second
+MIN_IDLE_CONNECTIONS, MAX_IDLE_CONNECTIONS = 100, 500  # below and above a node's connection limit
+SECONDS_BEFORE, SECONDS_AFTER = 1.5, 1.0  # seconds of the load without faults
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,51 +58,62 @@
 
     at: float
     seconds: float
-    kind: Kind
+    kind: FaultKind
     engines: tuple[str, ...] = ()
     node: int = -1  # -1: all nodes
-    trouble: Trouble | None = None
+    engine_fault: EngineFault | None = None
     amount: int = 0  # bytes, for a break; connections, of a crowd
 
-    def text(self) -> str:
+    def describe(self) -> str:
         """One line."""
         parts = [self.kind.name.lower(), *self.engines]
         if self.node >= 0:
             parts.append(f"n{self.node}")
-        if self.trouble is not None:
-            parts.append(self.trouble.value)
+        if self.engine_fault is not None:
+            parts.append(self.engine_fault.value)
         return f"{self.at:.2f} for {self.seconds:.2f} s: {' '.join(parts)}"
 
 
-def draw(seed: int, seconds: float, nodes: int, prefill: list[str], decode: list[str]) -> list[Fault]:
+def draw_faults(seed: int, seconds: float, nodes: int, prefill: list[str], decode: list[str]) -> list[Fault]:
     """The faults of one play in order of time."""
     random_source = random.Random(f"faults/{seed}")
-    count = max(2, round((seconds - QUIET_BEFORE - QUIET_AFTER) * EACH_SECOND))
+    count = max(2, round((seconds - SECONDS_BEFORE - SECONDS_AFTER) * FAULTS_PER_SECOND))
     kinds = random_source.choices(list(WEIGHTS), list(WEIGHTS.values()), k=count)
-    return sorted((_one(random_source, kind, seconds, nodes, prefill, decode) for kind in kinds), key=lambda f: f.at)
+    return sorted(
+        (_draw_fault(random_source, kind, seconds, nodes, prefill, decode) for kind in kinds), key=lambda f: f.at
+    )
 
 
-def _one(
-    random_source: random.Random, kind: Kind, seconds: float, nodes: int, prefill: list[str], decode: list[str]
+def _draw_fault(
+    random_source: random.Random, kind: FaultKind, seconds: float, nodes: int, prefill: list[str], decode: list[str]
 ) -> Fault:
-    at = random_source.uniform(QUIET_BEFORE, max(QUIET_BEFORE, seconds - QUIET_AFTER - SHORTEST))
-    lasts = min(random_source.uniform(SHORTEST, LONGEST), seconds - at - QUIET_AFTER / 2)
+    at = random_source.uniform(SECONDS_BEFORE, max(SECONDS_BEFORE, seconds - SECONDS_AFTER - MIN_SECONDS))
+    duration = min(random_source.uniform(MIN_SECONDS, MAX_SECONDS), seconds - at - SECONDS_AFTER / 2)
     node = random_source.randrange(nodes)
     role = random_source.choice([prefill, decode, decode])
     engine = (random_source.choice(role),)
     match kind:
-        case Kind.ROLE_SILENT:
-            silent = random_source.sample(role, max(1, int(len(role) * ROLE_SHARE)))
-            return Fault(at, lasts, kind, tuple(silent))
-        case Kind.TROUBLE:
-            return Fault(at, lasts, kind, engine, trouble=random_source.choice(list(Trouble)))
-        case Kind.BREAKS_IN_ANSWER:
-            return Fault(at, lasts, kind, engine, node, amount=random_source.randrange(1, 900))
-        case Kind.CROWD:
-            return Fault(at, lasts, kind, (), node, amount=random_source.randrange(CROWD_LEAST, CROWD_MOST))
-        case Kind.RESETS | Kind.SLOW_LINK:
-            return Fault(at, lasts, kind, engine, node)
-        case Kind.DISCOVERY_SILENT | Kind.WATCH_SILENT | Kind.TERM | Kind.KILL_NODE | Kind.HUP | Kind.STOP_NODE:
-            return Fault(at, lasts, kind, (), node)
+        case FaultKind.ROLE_SILENT:
+            silent = random_source.sample(role, max(1, int(len(role) * SILENT_ROLE_SHARE)))
+            return Fault(at, duration, kind, tuple(silent))
+        case FaultKind.TROUBLE:
+            return Fault(at, duration, kind, engine, engine_fault=random_source.choice(list(EngineFault)))
+        case FaultKind.BREAKS_IN_ANSWER:
+            return Fault(at, duration, kind, engine, node, amount=random_source.randrange(1, 900))
+        case FaultKind.CROWD:
+            return Fault(
+                at, duration, kind, (), node, amount=random_source.randrange(MIN_IDLE_CONNECTIONS, MAX_IDLE_CONNECTIONS)
+            )
+        case FaultKind.RESETS | FaultKind.SLOW_LINK:
+            return Fault(at, duration, kind, engine, node)
+        case (
+            FaultKind.DISCOVERY_SILENT
+            | FaultKind.WATCH_SILENT
+            | FaultKind.TERM
+            | FaultKind.KILL_NODE
+            | FaultKind.HUP
+            | FaultKind.STOP_NODE
+        ):
+            return Fault(at, duration, kind, (), node)
         case _:
-            return Fault(at, lasts, kind, engine)
+            return Fault(at, duration, kind, engine)
--- a/stonetrack/soak/crowd.py
+++ b/stonetrack/soak/idle_connections.py
@@ -7,10 +7,10 @@
 import socket
 
 CONNECT_TIMEOUT = 0.1  # seconds
-AT_ONCE = 50  # connections opened between two looks
+MAX_PER_REFILL = 50  # connections opened between two looks
 
 
-class Crowd:
+class IdleConnections:
     """Up to ``size`` idle connections to one address; a context manager that closes them."""
 
     def __init__(self, address: tuple[str, int], size: int) -> None:
@@ -19,7 +19,7 @@
         self.opened = 0  # in all
         self.closed_by_node = 0
 
-    def __enter__(self) -> Crowd:
+    def __enter__(self) -> IdleConnections:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -27,14 +27,14 @@
             sock.close()
         self._open.clear()
 
-    def look(self) -> None:
+    def refill(self) -> None:
         """Drop those that the node has ended, and open some of those that are missing."""
-        self._drop_ended()
-        for _ in range(min(AT_ONCE, self._size - len(self._open))):
+        self._drop_closed()
+        for _ in range(min(MAX_PER_REFILL, self._size - len(self._open))):
             if not self._connect():
                 return
 
-    def _drop_ended(self) -> None:
+    def _drop_closed(self) -> None:
         poller = select.poll()
         for descriptor in self._open:
             poller.register(descriptor, select.POLLIN | select.POLLRDHUP)
--- a/stonetrack/soak/nodes.py
+++ b/stonetrack/soak/nodes.py
@@ -13,14 +13,14 @@
 
 from stonetrack.fleet.processes import Part
 
-READY_WITHIN = 30.0  # seconds
-SECOND_TERM = 0.3  # seconds after the first SIGTERM
-BROKEN_FILE = b'{"listen": "127.0.0.1'  # cut off: has to be refused whole
+READY_TIMEOUT = 30.0  # seconds
+SECOND_TERM_DELAY = 0.3  # seconds after the first SIGTERM
+TRUNCATED_CONFIGURATION = b'{"listen": "127.0.0.1'  # cut off: has to be refused whole
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class ResourceUsage:
     """What a process holds and has used."""
 
     descriptors: int
@@ -30,11 +30,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class ProcessRun:
     """One run of a node's process; monotonic nanoseconds, 0 for not yet.  ``killed`` where it did not end itself."""
 
     started: int
-    told_to_end: int = 0
+    termination_requested: int = 0
     ended: int = 0
     killed: bool = False
 
@@ -51,11 +51,11 @@
         self._path = folder / "config.json"
         self._path.write_bytes(configuration)
         environment = {"EDGE_CONFIG": str(self._path), **({"EDGE_TRACE": "1"} if trace else {})}
-        self.part = Part(self.name, ("edge",), folder, program or Path(__file__).parents[2], environment)
-        self.lives: list[Life] = []
+        self.process = Part(self.name, ("edge",), folder, program or Path(__file__).parents[2], environment)
+        self.process_runs: list[ProcessRun] = []
         self.crashes: list[str] = []
         self._lock = threading.Lock()
-        self.one_at_a_time = threading.Lock()  # held by whoever ends, starts or signals it
+        self.control_lock = threading.Lock()  # held by whoever ends, starts or signals it
 
     @property
     def name(self) -> str:
@@ -68,87 +68,87 @@
         return "127.0.0.1", self.port
 
     @property
-    def log(self) -> Path:
+    def log_path(self) -> Path:
         """What it logs."""
-        return self.part.folder / "err.txt"
+        return self.process.folder / "err.txt"
 
     def start(self) -> None:
         """Start its process."""
         with self._lock:
-            self.part.start()
-            self.lives.append(Life(time.monotonic_ns()))
+            self.process.start()
+            self.process_runs.append(ProcessRun(time.monotonic_ns()))
 
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         """Whether it answers ``GET /up`` with 200."""
         with contextlib.suppress(OSError), socket.create_connection(self.address, timeout=1.0) as sock:
             sock.sendall(b"GET /up HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n")
             return sock.recv(64).startswith(b"HTTP/1.1 200")
         return False
 
-    def wait_up(self) -> None:
+    def wait_until_up(self) -> None:
         """Wait until it serves.  Raises RuntimeError with its log where it does not come."""
-        until = time.monotonic() + READY_WITHIN
-        while not self.up():
-            if not self.part.alive or time.monotonic() > until:
-                raise RuntimeError(f"{self.name} did not start: {self.log.read_text('utf-8', 'replace')[-2_000:]}")
+        until = time.monotonic() + READY_TIMEOUT
+        while not self.is_up():
+            if not self.process.alive or time.monotonic() > until:
+                raise RuntimeError(f"{self.name} did not start: {self.log_path.read_text('utf-8', 'replace')[-2_000:]}")
             time.sleep(0.02)
 
-    def look(self) -> None:
+    def check_exit(self) -> None:
         """Note a process that ended without having been told to."""
         with self._lock:
-            running = self.part.running
-            if running is None or not self.lives or self.lives[-1].ended or running.poll() is None:
+            running = self.process.running
+            if running is None or not self.process_runs or self.process_runs[-1].ended or running.poll() is None:
                 return
             self._note_end(False)
-            if not self.lives[-1].told_to_end or running.returncode != 0:
+            if not self.process_runs[-1].termination_requested or running.returncode != 0:
                 self.crashes.append(f"{self.name} ended by itself with {running.returncode}")
 
     def _note_end(self, killed: bool) -> None:
-        last = self.lives[-1]
-        self.lives[-1] = Life(last.started, last.told_to_end, time.monotonic_ns(), killed)
+        last = self.process_runs[-1]
+        self.process_runs[-1] = ProcessRun(last.started, last.termination_requested, time.monotonic_ns(), killed)
 
     def terminate(self, seconds: float) -> bool:
         """SIGTERM, again a little later, and SIGKILL after so many seconds; whether it ended by itself."""
         until = time.monotonic() + seconds
         with self._lock:
-            last = self.lives[-1]
-            self.lives[-1] = Life(last.started, time.monotonic_ns())
-            self.part.signal(signal.SIGTERM)
-        time.sleep(SECOND_TERM)
-        self.part.signal(signal.SIGTERM)
-        clean = self.part.finish(until)
+            last = self.process_runs[-1]
+            self.process_runs[-1] = ProcessRun(last.started, time.monotonic_ns())
+            self.process.signal(signal.SIGTERM)
+        time.sleep(SECOND_TERM_DELAY)
+        self.process.signal(signal.SIGTERM)
+        clean = self.process.finish(until)
         with self._lock:
-            if not self.lives[-1].ended:
+            if not self.process_runs[-1].ended:
                 self._note_end(not clean)
         return clean
 
     def kill(self) -> None:
         """SIGKILL."""
         with self._lock:
-            self.part.kill()
-            if self.lives and not self.lives[-1].ended:
+            self.process.kill()
+            if self.process_runs and not self.process_runs[-1].ended:
                 self._note_end(True)
 
     def reload(self) -> None:
         """SIGHUP three times, the second time with a file that is cut off."""
-        for data in (self._configuration, BROKEN_FILE, self._configuration):
+        for data in (self._configuration, TRUNCATED_CONFIGURATION, self._configuration):
             self._path.write_bytes(data)
-            self.part.signal(signal.SIGHUP)
+            self.process.signal(signal.SIGHUP)
             time.sleep(0.05)
 
-    def hold_up(self, seconds: float) -> None:
+    def suspend(self, seconds: float) -> None:
         """SIGSTOP for so long."""
-        self.part.signal(signal.SIGSTOP)
+        self.process.signal(signal.SIGSTOP)
         time.sleep(seconds)
-        self.part.signal(signal.SIGCONT)
+        self.process.signal(signal.SIGCONT)
 
-    def use(self) -> Use:
+    def resource_usage(self) -> ResourceUsage:
         """What its process holds now.  Raises OSError where it has ended."""
-        running = self.part.running
+        running = self.process.running
         proc = Path("/proc") / str(running.pid if running is not None else 0)
         fields = (proc / "stat").read_text("ascii", "replace").rsplit(")", 1)[1].split()
         cpu = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
         pages = int((proc / "statm").read_text("ascii").split()[1])
-        return Use(
+        return ResourceUsage(
             len(os.listdir(proc / "fd")), len(os.listdir(proc / "task")), cpu, pages * os.sysconf("SC_PAGE_SIZE")
         )
--- a/stonetrack/soak/platform.py
+++ b/stonetrack/soak/platform.py
@@ -21,39 +21,39 @@
 
 from stonetrack.clocks import wall_time
 from stonetrack.fleet.listening import bound, end_listening
-from stonetrack.soak.engine_side import Arrival, End, EngineSide
-from stonetrack.soak.latitude import KINDEST, Latitude, Reply
+from stonetrack.soak.engine_side import Arrival, End, EngineStateRecords
+from stonetrack.soak.unspecified import MOST_HELPFUL, EngineBehaviour, Reply
 from stonetrack.wire import http1, writer
 
-REPORT = "TEXT inflight=1, queue=0, x0=0.1, x1=0.2"
+LOAD_REPORT = "TEXT inflight=1, queue=0, x0=0.1, x1=0.2"
 CHAT = "/v1/chat/completions"
-UNKNOWN_AFTER = 0.3  # seconds after which a reservation is answered as unknown
-SLOWER = 10  # times as long lasts the work of a slow engine
-FULL_LATE_AFTER = 0.6  # seconds after which an engine turns away late: past the time for releases
+UNKNOWN_REPLY_DELAY = 0.3  # seconds after which a reservation is answered as unknown
+SLOW_FACTOR = 10  # times as long lasts the work of a slow engine
+LATE_REJECTION_DELAY = 0.6  # seconds after which an engine turns away late: past the time for releases
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, no time
 BACKLOG = 256
 
 
-class Trouble(Enum):
+class EngineFault(Enum):
     """What an engine does wrong while it lasts."""
 
     HANG_BEFORE = "hangs before its work"
-    HANG_WITHIN = "hangs within its work"
-    HANG_BEHIND = "hangs before the end of its answer"
+    HANG_DURING = "hangs within its work"
+    HANG_BEFORE_END = "hangs before the end of its answer"
     SLOW = "ten times slower"
     FULL = "turns away (503)"
     FULL_LATE = "turns away late (503 after a while)"
     ERRORS = "answers 500"
-    STATES_GONE = "says that states are gone (410)"
+    STATES_LOST = "says that states are gone (410)"
     RESETS = "resets before its answer"
-    SPOILT = "spoils its streams"
-    ENDLESS = "streams never end"
+    CORRUPT_STREAM = "spoils its streams"
+    ENDLESS_STREAM = "streams never end"
     SECOND_ANSWER = "sends a second answer behind the first"
-    AHEAD = "sends 1xx ahead"
-    FORGETS_IDLE = "resets idle connections"
+    INTERIM_RESPONSE = "sends 1xx ahead"
+    RESETS_IDLE = "resets idle connections"
 
 
-class Seen(NamedTuple):
+class EngineCall(NamedTuple):
     """One call at an engine; ``at`` in seconds of the monotonic clock."""
 
     at: float
@@ -69,7 +69,7 @@
     return sock
 
 
-class Served:
+class ThreadedServer:
     """A listener whose connections each have a thread."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
         reader = http1.MessageReader(http1.Side.REQUESTS)
         head, body = None, b""
         with contextlib.suppress(OSError, ValueError):
-            while data := self.next_bytes(sock):
+            while data := self.receive(sock):
                 for event in reader.feed(data):
                     if isinstance(event, http1.RequestHead):
                         head, body = event, b""
@@ -101,7 +101,7 @@
         self.open.discard(sock)
         sock.close()
 
-    def next_bytes(self, sock: socket.socket) -> bytes:
+    def receive(self, sock: socket.socket) -> bytes:
         """What comes next on a connection, empty at its end."""
         return sock.recv(65_536)
 
@@ -117,46 +117,46 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
                 sock.shutdown(socket.SHUT_RDWR)
 
-    def again(self) -> None:
+    def reopen(self) -> None:
         """Listen again at the same address."""
         self.listener = listen(self.port)
         threading.Thread(target=self._accept, args=(self.listener,), daemon=True).start()
 
 
-def closed_within(sock: socket.socket, seconds: float) -> bool:
+def wait_for_close(sock: socket.socket, seconds: float) -> bool:
     """Wait so long; whether the other side closed meanwhile."""
     poller = select.poll()
     poller.register(sock.fileno(), select.POLLRDHUP)
     return bool(poller.poll(seconds * 1_000.0))
 
 
-class Engine(Served):
+class Engine(ThreadedServer):
     """One engine; ``role`` is prefill or decode."""
 
-    def __init__(self, world: Platform, name: str, role: str) -> None:
-        self.world, self.name, self.role = world, name, role
-        self.faults: deque[str] = deque()
-        self.trouble: Trouble | None = None
+    def __init__(self, platform: Platform, name: str, role: str) -> None:
+        self.platform, self.name, self.role = platform, name, role
+        self.scripted_faults: deque[str] = deque()
+        self.fault: EngineFault | None = None
         self.release_delay = 0.0
-        self.place_delay = 0.0
-        self.load = REPORT
-        self.deaf = False  # probes are not answered
+        self.reservation_delay = 0.0
+        self.load_report = LOAD_REPORT
+        self.ignores_probes = False  # probes are not answered
         super().__init__()
 
     @property
-    def decodes(self) -> bool:
+    def is_decode(self) -> bool:
         """Whether it is a decode engine."""
         return self.role == "decode"
 
     def close(self) -> None:
         """See ``Served.close``; what it held is gone."""
         super().close()
-        with self.world.lock:
-            self.world.books.engine_gone(self.name, time.monotonic_ns())
+        with self.platform.lock:
+            self.platform.state_records.engine_stopped(self.name, time.monotonic_ns())
 
-    def next_bytes(self, sock: socket.socket) -> bytes:
+    def receive(self, sock: socket.socket) -> bytes:
         """See ``Served.next_bytes``; an engine that forgets idle connections resets them."""
-        if self.trouble is Trouble.FORGETS_IDLE and not select.select([sock], [], [], 0.3)[0]:
+        if self.fault is EngineFault.RESETS_IDLE and not select.select([sock], [], [], 0.3)[0]:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
             return b""
         return sock.recv(65_536)
@@ -167,9 +167,9 @@
         if head.method == "DELETE":
             self._release(sock, request)
         elif head.path == "/metrics/load":
-            self.world.note("probe", self.name, "")
-            if not self.deaf:
-                sock.sendall(writer.response(200, [("X-Backend-Load", self.load)], self.load.encode()))
+            self.platform.record_call("probe", self.name, "")
+            if not self.ignores_probes:
+                sock.sendall(writer.response(200, [("X-Backend-Load", self.load_report)], self.load_report.encode()))
         elif job == "/kv/leases":
             self._reserve(sock, request)
         else:
@@ -177,190 +177,202 @@
 
     def _release(self, sock: socket.socket, request: str) -> None:
         time.sleep(self.release_delay)
-        self.world.note("release", self.name, request)
-        with self.world.lock:
-            takes_reads = self.world.latitude.release_takes_running_read(request)
-            self.world.books.release(request, time.monotonic_ns(), takes_reads)
+        self.platform.record_call("release", self.name, request)
+        with self.platform.lock:
+            includes_running_prefills = self.platform.behaviour.release_includes_running_prefill(request)
+            self.platform.state_records.release(request, time.monotonic_ns(), includes_running_prefills)
         sock.sendall(writer.response(204, []))
 
     def _reserve(self, sock: socket.socket, request: str) -> None:
-        time.sleep(self.place_delay)
-        self.world.note("place", self.name, request)
-        drawn = self.world.latitude.reservation(request)
+        time.sleep(self.reservation_delay)
+        self.platform.record_call("place", self.name, request)
+        drawn = self.platform.behaviour.reservation(request)
         if drawn.reply is Reply.UNKNOWN_LATE:
-            closed_within(sock, self.world.unknown_after)
+            wait_for_close(sock, self.platform.unknown_reply_delay)
         if drawn.held:
-            with self.world.lock:
-                self.world.books.reserve(request, self.name, time.monotonic_ns())
+            with self.platform.lock:
+                self.platform.state_records.reserve(request, self.name, time.monotonic_ns())
         if drawn.reply is not Reply.SILENCE:
-            sock.sendall(writer.response(drawn.reply.status, [("X-Backend-Load", self.load)]))
+            sock.sendall(writer.response(drawn.reply.status, [("X-Backend-Load", self.load_report)]))
 
     def _attempt(self, sock: socket.socket, head: http1.RequestHead, body: bytes) -> None:
-        world = self.world
+        platform = self.platform
         request = head.headers.get("x-correlation-id")
-        world.note("write" if self.decodes else "read", self.name, request)
-        world.bodies[request], world.left[request] = body, head.headers.get("x-time-left")
-        told = int(world.left[request][:-1] or 0) * 1_000_000
-        with world.lock:
+        platform.record_call("write" if self.is_decode else "read", self.name, request)
+        platform.request_bodies[request], platform.times_left[request] = body, head.headers.get("x-time-left")
+        sent_time_left = int(platform.times_left[request][:-1] or 0) * 1_000_000
+        with platform.lock:
             arrival = Arrival(
-                request, self.name, self.decodes, time.monotonic_ns(), sock.getpeername()[1], told
+                request, self.name, self.is_decode, time.monotonic_ns(), sock.getpeername()[1], sent_time_left
             )  # fmt: skip
-            has_state = world.books.arrived(arrival)
-            world.most_out = max(world.most_out, world.count_out(request))
+            state_available = platform.state_records.attempt_arrived(arrival)
+            platform.max_concurrent_attempts = max(
+                platform.max_concurrent_attempts, platform.count_open_attempts(request)
+            )
         try:
-            self._run(sock, arrival, has_state)
+            self._run(sock, arrival, state_available)
         except OSError:
-            self._given_up(sock, arrival)
+            self._handle_cancellation(sock, arrival)
             raise
         finally:
-            self._over(arrival, End.FAILED)
+            self._end_attempt(arrival, End.FAILED)
 
-    def _given_up(self, sock: socket.socket, arrival: Arrival) -> None:
+    def _handle_cancellation(self, sock: socket.socket, arrival: Arrival) -> None:
         """The node gave the attempt up; a read may go on to its end all the same."""
-        world = self.world
-        goes_on = not arrival.decodes and not arrival.ended and world.latitude.reads_on(arrival.request)
-        self._over(arrival, End.GIVEN_UP, arrival.decodes and not arrival.first_event, goes_on)
-        if not goes_on:
+        platform = self.platform
+        continues = (
+            not arrival.is_decode and not arrival.ended and platform.behaviour.prefill_continues(arrival.request)
+        )
+        self._end_attempt(arrival, End.CANCELLED, arrival.is_decode and not arrival.first_event, continues)
+        if not continues:
             return
-        while self.trouble in (Trouble.HANG_BEFORE, Trouble.HANG_WITHIN):
+        while self.fault in (EngineFault.HANG_BEFORE, EngineFault.HANG_DURING):
             time.sleep(0.05)
-        time.sleep(self._lasts(world.work))
-        with world.lock:
-            world.books.read(arrival, time.monotonic_ns())
-        if world.latitude.tells_late_end(arrival.request):
+        time.sleep(self._scaled(platform.work_seconds))
+        with platform.lock:
+            platform.state_records.prefill_completed(arrival, time.monotonic_ns())
+        if platform.behaviour.answers_late_prefill(arrival.request):
             with contextlib.suppress(OSError):
-                sock.sendall(self._read_answer())
+                sock.sendall(self._prefill_response())
 
-    def _over(self, arrival: Arrival, end: End, state_kept: bool = False, reads_on: bool = False) -> None:
+    def _end_attempt(
+        self, arrival: Arrival, end: End, state_retained: bool = False, prefill_continues: bool = False
+    ) -> None:
         """The attempt ends: called right before the bytes that end it, so that the next is not taken for a second."""
-        with self.world.lock:
-            self.world.books.ended(arrival, time.monotonic_ns(), end, state_kept, reads_on)
+        with self.platform.lock:
+            self.platform.state_records.attempt_ended(
+                arrival, time.monotonic_ns(), end, state_retained, prefill_continues
+            )
 
-    def _lasts(self, seconds: float) -> float:
-        return seconds * (SLOWER if self.trouble is Trouble.SLOW else 1)
+    def _scaled(self, seconds: float) -> float:
+        return seconds * (SLOW_FACTOR if self.fault is EngineFault.SLOW else 1)
 
-    def _pause(self, sock: socket.socket, seconds: float) -> None:
+    def _work_for(self, sock: socket.socket, seconds: float) -> None:
         """Work for so long.  Raises ConnectionError where the node gives the attempt up meanwhile."""
-        if closed_within(sock, self._lasts(seconds)):
+        if wait_for_close(sock, self._scaled(seconds)):
             raise ConnectionError("the node gave the attempt up")
 
-    def _hang(self, sock: socket.socket, trouble: Trouble) -> None:
-        while self.trouble is trouble:
-            self._pause(sock, 0.05)
+    def _hang(self, sock: socket.socket, fault: EngineFault) -> None:
+        while self.fault is fault:
+            self._work_for(sock, 0.05)
 
-    def _run(self, sock: socket.socket, arrival: Arrival, has_state: bool) -> None:
-        fault = self.faults.popleft() if self.faults else ""
-        if fault == "hang":
+    def _run(self, sock: socket.socket, arrival: Arrival, state_available: bool) -> None:
+        scripted = self.scripted_faults.popleft() if self.scripted_faults else ""
+        if scripted == "hang":
             while True:
-                self._pause(sock, 60.0)
-        self._hang(sock, Trouble.HANG_BEFORE)
-        late = self.trouble is Trouble.FULL_LATE
+                self._work_for(sock, 60.0)
+        self._hang(sock, EngineFault.HANG_BEFORE)
+        late = self.fault is EngineFault.FULL_LATE
         if late:
-            self._pause(sock, FULL_LATE_AFTER)
-        if not self._turned_away(sock, arrival, "503" if late else fault, has_state):
-            self._pause(sock, self.world.work)
-            self._hang(sock, Trouble.HANG_WITHIN)
-            if self._failed(sock, arrival, fault):
+            self._work_for(sock, LATE_REJECTION_DELAY)
+        if not self._rejected(sock, arrival, "503" if late else scripted, state_available):
+            self._work_for(sock, self.platform.work_seconds)
+            self._hang(sock, EngineFault.HANG_DURING)
+            if self._failed(sock, arrival, scripted):
                 return
-            if self.decodes:
-                self._stream(sock, arrival, fault)
+            if self.is_decode:
+                self._stream(sock, arrival, scripted)
             else:
-                self._read(sock, arrival)
+                self._complete_prefill(sock, arrival)
 
-    def _turned_away(self, sock: socket.socket, arrival: Arrival, fault: str, has_state: bool) -> bool:
-        full = fault == "503" or self.trouble is Trouble.FULL
-        gone = self.decodes and (not has_state or self.trouble is Trouble.STATES_GONE)
+    def _rejected(self, sock: socket.socket, arrival: Arrival, scripted: str, state_available: bool) -> bool:
+        full = scripted == "503" or self.fault is EngineFault.FULL
+        gone = self.is_decode and (not state_available or self.fault is EngineFault.STATES_LOST)
         if not full and not gone:
             return False
-        self._over(arrival, End.TURNED_AWAY, state_kept=full)
-        status = self.world.latitude.turned_away(arrival.request) if full else 410
+        self._end_attempt(arrival, End.REJECTED, state_retained=full)
+        status = self.platform.behaviour.rejection_status(arrival.request) if full else 410
         sock.sendall(writer.response(status, [("X-Unprocessed", "1")]))
         return True
 
-    def _failed(self, sock: socket.socket, arrival: Arrival, fault: str) -> bool:
+    def _failed(self, sock: socket.socket, arrival: Arrival, scripted: str) -> bool:
         """Whether the attempt fails before its answer, with its effect."""
-        trouble = self.trouble
-        if fault == "noise":
-            self._over(arrival, End.FAILED)
+        fault = self.fault
+        if scripted == "noise":
+            self._end_attempt(arrival, End.FAILED)
             sock.sendall(b"\x16\x03\x01 noise\r\n\r\n")
-        elif fault == "reset" or trouble is Trouble.RESETS:
-            self._over(arrival, End.FAILED)
+        elif scripted == "reset" or fault is EngineFault.RESETS:
+            self._end_attempt(arrival, End.FAILED)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
             sock.close()
-        elif fault in ("400", "500") or trouble is Trouble.ERRORS:
-            self._over(arrival, End.FAILED)
-            sock.sendall(writer.response(int(fault or 500), []))
+        elif scripted in ("400", "500") or fault is EngineFault.ERRORS:
+            self._end_attempt(arrival, End.FAILED)
+            sock.sendall(writer.response(int(scripted or 500), []))
         else:
             return False
         return True
 
-    def _read(self, sock: socket.socket, arrival: Arrival) -> None:
-        world = self.world
-        with world.lock:
+    def _complete_prefill(self, sock: socket.socket, arrival: Arrival) -> None:
+        platform = self.platform
+        with platform.lock:
             now = time.monotonic_ns()
-            world.books.read(arrival, now)
-            world.books.ended(arrival, now, End.ANSWERED)
-        sock.sendall(self._read_answer())
-
-    def _read_answer(self) -> bytes:
-        return writer.response(202, [("X-Backend-Load", self.load)], b'{"cached_tokens":%d}' % self.world.cached)
-
-    def _stream(self, sock: socket.socket, arrival: Arrival, fault: str) -> None:
-        world = self.world
-        trouble = self.trouble
-        ahead = b"HTTP/1.1 103 Early Hints\r\n\r\n" if fault == "ahead" or trouble is Trouble.AHEAD else b""
+            platform.state_records.prefill_completed(arrival, now)
+            platform.state_records.attempt_ended(arrival, now, End.ANSWERED)
+        sock.sendall(self._prefill_response())
+
+    def _prefill_response(self) -> bytes:
+        return writer.response(
+            202, [("X-Backend-Load", self.load_report)], b'{"cached_tokens":%d}' % self.platform.cached_tokens
+        )
+
+    def _stream(self, sock: socket.socket, arrival: Arrival, scripted: str) -> None:
+        platform = self.platform
+        fault = self.fault
+        ahead = (
+            b"HTTP/1.1 103 Early Hints\r\n\r\n" if scripted == "ahead" or fault is EngineFault.INTERIM_RESPONSE else b""
+        )
         arrival.first_event = time.monotonic_ns()
         sock.sendall(ahead + writer.chunked_head(200, [("Content-Type", "text/event-stream")]))
         number = 0
-        while number < world.events or self.trouble is Trouble.ENDLESS:
+        while number < platform.event_count or self.fault is EngineFault.ENDLESS_STREAM:
             event = {"choices": [{"index": 0, "delta": {"content": str(number)}}], "written_ns": time.monotonic_ns()}
             sock.sendall(writer.chunk(b"data: " + json.dumps(event).encode() + b"\n\n"))
-            if number == 1 and (fault == "spoilt" or trouble is Trouble.SPOILT):
+            if number == 1 and (scripted == "spoilt" or fault is EngineFault.CORRUPT_STREAM):
                 sock.sendall(b"zz\r\nnoise")
-                closed_within(sock, 30.0)
+                wait_for_close(sock, 30.0)
                 return
             number += 1
-            self._pause(sock, world.pause)
-        self._hang(sock, Trouble.HANG_BEHIND)
+            self._work_for(sock, platform.event_interval)
+        self._hang(sock, EngineFault.HANG_BEFORE_END)
         end = b'data: {"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":16}}}\n\ndata: [DONE]\n\n'
-        self._over(arrival, End.ANSWERED)
-        sock.sendall(writer.chunk(end + f": X-Backend-Load: {self.load}\n\n".encode()) + writer.LAST_CHUNK)
-        if fault == "behind" or trouble is Trouble.SECOND_ANSWER:
+        self._end_attempt(arrival, End.ANSWERED)
+        sock.sendall(writer.chunk(end + f": X-Backend-Load: {self.load_report}\n\n".encode()) + writer.LAST_CHUNK)
+        if scripted == "behind" or fault is EngineFault.SECOND_ANSWER:
             sock.sendall(writer.response(200, [], b"again"))
 
 
-class Discovery(Served):
+class Discovery(ThreadedServer):
     """A node's discovery agent; a change is told to every watch at once, unless it is ``silent``."""
 
-    def __init__(self, world: Platform, node: int = 0) -> None:
-        self.world, self.node = world, node
-        self.changed = world.changed
-        self.asked: list[str] = []
+    def __init__(self, platform: Platform, node: int = 0) -> None:
+        self.platform, self.node = platform, node
+        self.changed = platform.changed
+        self.request_targets: list[str] = []
         self.silent = False
-        self.told: list[tuple[int, int]] = []  # when a version was written, and which
+        self.deliveries: list[tuple[int, int]] = []  # when a version was written, and which
         super().__init__()
 
     def request(self, sock: socket.socket, head: http1.RequestHead, body: bytes) -> None:
         """See ``Served.request``: a watch, for as long as its connection lasts."""
-        self.asked.append(head.target)
+        self.request_targets.append(head.target)
         while self.silent:
-            if closed_within(sock, 0.05):
+            if wait_for_close(sock, 0.05):
                 return
         sock.sendall(writer.chunked_head(200, [("Content-Type", "application/json")]))
         rev = -1
         while True:
             with self.changed:
-                if self.silent or (self.world.rev == rev and not self.changed.wait(0.5)):
+                if self.silent or (self.platform.rev == rev and not self.changed.wait(0.5)):
                     silent = self.silent
                 else:
                     silent = False
-                    rev, document = self.world.rev, self.world.document(self.node)
-                    self.told.append((time.monotonic_ns(), rev))
+                    rev, document = self.platform.rev, self.platform.document(self.node)
+                    self.deliveries.append((time.monotonic_ns(), rev))
                     for part in (document[:30], document[30:] + b"\n"):
                         sock.sendall(writer.chunk(part))
                     continue
             if silent:
-                if closed_within(sock, 0.05):
+                if wait_for_close(sock, 0.05):
                     return
             else:
                 sock.sendall(writer.chunk(b"\n"))
@@ -369,69 +381,69 @@
 class Platform:
     """Engines, discovery and the record of what passed."""
 
-    def __init__(self, readers: int, writers: int, nodes: int = 1) -> None:
+    def __init__(self, prefill_count: int, decode_count: int, node_count: int = 1) -> None:
         self.lock = threading.RLock()
         self.changed = threading.Condition()
-        self.books = EngineSide()
-        self.seen: list[Seen] = []
-        self.most_out = 0
-        self.bodies: dict[str, bytes] = {}
-        self.left: dict[str, str] = {}
-        self.work, self.pause, self.events = 0.005, 0.005, 5
-        self.unknown_after = UNKNOWN_AFTER
-        self.latitude = Latitude(0, KINDEST)  # what the page leaves open, as the engines keep it
-        self.cached = 16  # tokens that every read is said to have found kept
+        self.state_records = EngineStateRecords()
+        self.calls: list[EngineCall] = []
+        self.max_concurrent_attempts = 0
+        self.request_bodies: dict[str, bytes] = {}
+        self.times_left: dict[str, str] = {}
+        self.work_seconds, self.event_interval, self.event_count = 0.005, 0.005, 5
+        self.unknown_reply_delay = UNKNOWN_REPLY_DELAY
+        self.behaviour = EngineBehaviour(0, MOST_HELPFUL)  # what the page leaves open, as the engines keep it
+        self.cached_tokens = 16  # tokens that every read is said to have found kept
         self.rev = 1
-        names = [*(f"r{n}" for n in range(readers)), *(f"w{n}" for n in range(writers))]
+        names = [*(f"r{n}" for n in range(prefill_count)), *(f"w{n}" for n in range(decode_count))]
         self.engines = {name: Engine(self, name, "prefill" if name[0] == "r" else "decode") for name in names}
         self.states = dict.fromkeys(names, "SERVING")
         self.changes: list[tuple[int, int, str, str]] = []  # when, version, engine, its state from then on
-        self.boots = dict.fromkeys(names, 0)  # Unix time in milliseconds
-        self.endpoint: Callable[[int, str], str] = lambda node, name: f"127.0.0.1:{self.engines[name].port}"
-        self.agents = [Discovery(self, node) for node in range(nodes)]
+        self.boot_times_ms = dict.fromkeys(names, 0)  # Unix time in milliseconds
+        self.endpoint_of: Callable[[int, str], str] = lambda node, name: f"127.0.0.1:{self.engines[name].port}"
+        self.agents = [Discovery(self, node) for node in range(node_count)]
 
     @property
     def held(self) -> dict[str, set[str]]:
         """What is held with no attempt out, by request."""
         with self.lock:
             found: dict[str, set[str]] = {}
-            for stay in self.books.still_held():
-                found.setdefault(stay.request, set()).add(stay.kind.value)
+            for record in self.state_records.still_held():
+                found.setdefault(record.request, set()).add(record.kind.value)
             return found
 
-    def count_out(self, request: str) -> int:
+    def count_open_attempts(self, request: str) -> int:
         """Attempts of a request that have arrived and not ended."""
-        return sum(1 for each in self.books.arrivals[-2_000:] if each.request == request and not each.ended)
+        return sum(1 for each in self.state_records.arrivals[-2_000:] if each.request == request and not each.ended)
 
-    def note(self, what: str, engine: str, request: str) -> None:
+    def record_call(self, what: str, engine: str, request: str) -> None:
         """A call has arrived."""
         with self.lock:
-            self.seen.append(Seen(time.monotonic(), what, engine, request))
+            self.calls.append(EngineCall(time.monotonic(), what, engine, request))
 
-    def which(self, request: str) -> list[tuple[str, str]]:
+    def calls_for(self, request: str) -> list[tuple[str, str]]:
         """What passed for a request, in order."""
         with self.lock:
-            return [(each.what, each.engine) for each in self.seen if each.request == request]
+            return [(each.what, each.engine) for each in self.calls if each.request == request]
 
     def document(self, node: int = 0) -> bytes:
         """The whole list as one node is told it."""
-        targets = [{"uid": name, "endpoint": self.endpoint(node, name), "az": "a", "model": engine.role,
+        targets = [{"uid": name, "endpoint": self.endpoint_of(node, name), "az": "a", "model": engine.role,
                     "pod_group": 0, "state": self.states[name], "capacity_hint": 1.0,
-                    "boot_ms": self.boots.get(name, 0)}
+                    "boot_ms": self.boot_times_ms.get(name, 0)}
                    for name, engine in self.engines.items()]  # fmt: skip
         return json.dumps({"rev": self.rev, "all": True, "targets": targets}).encode()
 
-    def change(self, name: str, state: str) -> None:
+    def change_state(self, name: str, state: str) -> None:
         """An engine's state changes, and is told."""
         with self.changed:
             self.states[name] = state
             self._changed(name, state)
 
-    def restarted(self, name: str) -> None:
+    def restart_engine(self, name: str) -> None:
         """An engine that was closed is back, cold, at its address."""
-        self.engines[name].again()
+        self.engines[name].reopen()
         with self.changed:
-            self.boots[name] = int(wall_time() * 1_000)
+            self.boot_times_ms[name] = int(wall_time() * 1_000)
             self._changed(name, self.states[name])
 
     def _changed(self, name: str, state: str) -> None:
--- a/stonetrack/soak/report.py
+++ b/stonetrack/soak/report.py
@@ -4,25 +4,26 @@
 
 from pathlib import Path
 
-from stonetrack.soak.oracle import Violation, by_invariant
-from stonetrack.soak.play import Result, Size
+from stonetrack.soak.oracle import Violation, count_by_invariant
+from stonetrack.soak.run import Result, RunSize
 
 SECOND = 1e9
-MOST_REQUESTS = 20  # timelines written for one seed
-TIMELINE = "timeline.txt"
+MAX_REQUESTS = 20  # timelines written for one seed
+TIMELINE_FILE = "timeline.txt"
 
 
-def line(result: Result) -> str:
+def summary_line(result: Result) -> str:
     """The line of one seed."""
-    broken = by_invariant(result.violations) or "none"
+    broken = count_by_invariant(result.violations) or "none"
     return (
-        f"seed {result.seed}: service {result.service:.3f} of {result.requests} requests, {len(result.faults)} faults, "
-        f"harness late {result.lateness / 1e6:.0f} ms, processors waited for {result.machine_waited:.2f} of the time, "
+        f"seed {result.seed}: service {result.served_share:.3f} of {result.requests} requests, "
+        f"{len(result.faults)} faults, harness late {result.lateness / 1e6:.0f} ms, "
+        f"processors waited for {result.processor_wait_share:.2f} of the time, "
         f"violations {broken}"
     )
 
 
-def command(seed: int, size: Size) -> str:
+def replay_command(seed: int, size: RunSize) -> str:
     """The command that plays a seed again."""
     return (
         f"stonetrack soak --seeds {seed}:{seed + 1} --nodes {size.nodes} --seconds {size.seconds:g} "
@@ -37,51 +38,56 @@
         self._result = result
         self._logs = {path.parent.name: path.read_text("utf-8", "replace") for path in folder.glob("n*/err.txt")}
 
-    def of(self, request: str) -> list[str]:
+    def events_of(self, request: str) -> list[str]:
         """All that is known of one request."""
-        began, evidence = self._result.began, self._result.evidence
-        told: list[tuple[int, str]] = []
-        for seen in evidence.seen:
-            if seen.request == request:
-                told.append((seen.sent, f"client: {seen.cls} {seen.behaviour} sends, would wait "
-                                        f"{(seen.deadline - seen.sent) / SECOND:.3f} s"))  # fmt: skip
-                if seen.first:
-                    told.append((seen.first, "client: first event"))
-                told.append((seen.end, f"client: {seen.ended} {seen.status} {seen.why[:80]}"))
-        for record in evidence.log:
+        load_started, evidence = self._result.load_started, self._result.evidence
+        events: list[tuple[int, str]] = []
+        for client in evidence.client_records:
+            if client.request == request:
+                events.append((client.sent, f"client: {client.cls} {client.behaviour} sends, would wait "
+                                        f"{(client.deadline - client.sent) / SECOND:.3f} s"))  # fmt: skip
+                if client.first:
+                    events.append((client.first, "client: first event"))
+                events.append((client.end, f"client: {client.ended} {client.status} {client.why[:80]}"))
+        for record in evidence.link_log:
             if record.get("id") == request:
-                told.append(
+                events.append(
                     (record["t"], f"link {record['from']} to {record['to']} #{record['conn']}: {record['what']}")
                 )
         for arrival in evidence.arrivals:
             if arrival.request == request:
-                role = "decode" if arrival.decodes else "prefill"
-                told.append((arrival.at, f"engine {arrival.engine}: {role} attempt arrived"))
+                role = "decode" if arrival.is_decode else "prefill"
+                events.append((arrival.arrived_at, f"engine {arrival.engine}: {role} attempt arrived"))
                 if arrival.ended and arrival.end is not None:
-                    told.append((arrival.ended, f"engine {arrival.engine}: {arrival.end.value}"))
-        for stay in evidence.stays:
-            if stay.request == request:
-                told.append((stay.since, f"engine {stay.engine}: {stay.kind.value}'s clock begins to run"))
-                if stay.until:
-                    told.append((stay.until, f"engine {stay.engine}: {stay.kind.value}'s clock stops"))
-        lines = [f"{(at - began) / SECOND:9.3f} {text}" for at, text in sorted(told)]
+                    events.append((arrival.ended, f"engine {arrival.engine}: {arrival.end.value}"))
+        for held in evidence.held_states:
+            if held.request == request:
+                events.append((held.since, f"engine {held.engine}: {held.kind.value}'s clock begins to run"))
+                if held.until:
+                    events.append((held.until, f"engine {held.engine}: {held.kind.value}'s clock stops"))
+        lines = [f"{(at - load_started) / SECOND:9.3f} {text}" for at, text in sorted(events)]
         for name, log in self._logs.items():
             lines += [f"{name} log: {each}" for each in log.splitlines() if request in each and "trace " not in each]
         return lines
 
 
-def write(result: Result, size: Size, folder: Path) -> None:
+def write_timeline(result: Result, size: RunSize, folder: Path) -> None:
     """The timeline of a seed that failed, beside its logs."""
-    out = [line(result), command(result.seed, size), "", "faults (seconds from the start of the load):"]
-    out += [f"  {fault.text()}" for fault in result.faults]
+    lines = [
+        summary_line(result),
+        replay_command(result.seed, size),
+        "",
+        "faults (seconds from the start of the load):",
+    ]
+    lines += [f"  {fault.describe()}" for fault in result.faults]
     timeline = Timeline(result, folder)
     requests: dict[str, list[Violation]] = {}
     for violation in result.violations:
         requests.setdefault(violation.request, []).append(violation)
-    for request, violations in list(requests.items())[:MOST_REQUESTS]:
-        out += ["", f"request {request}" if request else "processes"]
-        out += [f"  violation of {each.invariant}: {each.text}" for each in violations]
-        out += [f"  {text}" for text in timeline.of(request)] if request else []
-    if len(requests) > MOST_REQUESTS:
-        out += ["", f"and {len(requests) - MOST_REQUESTS} more requests"]
-    (folder / TIMELINE).write_text("\n".join(out) + "\n", "utf-8")
+    for request, violations in list(requests.items())[:MAX_REQUESTS]:
+        lines += ["", f"request {request}" if request else "processes"]
+        lines += [f"  violation of {each.invariant}: {each.text}" for each in violations]
+        lines += [f"  {text}" for text in timeline.events_of(request)] if request else []
+    if len(requests) > MAX_REQUESTS:
+        lines += ["", f"and {len(requests) - MAX_REQUESTS} more requests"]
+    (folder / TIMELINE_FILE).write_text("\n".join(lines) + "\n", "utf-8")
--- a/stonetrack/soak/play.py
+++ b/stonetrack/soak/run.py
@@ -23,30 +23,30 @@
 from stonetrack.fleet.load import Seen
 from stonetrack.fleet.pulse import Pulse, wait_for_processors
 from stonetrack.fleet.traffic import Clients, Traffic
-from stonetrack.soak.crowd import Crowd
-from stonetrack.soak.faults import Fault, Kind, draw
-from stonetrack.soak.latitude import Latitude, Sentence
-from stonetrack.soak.nodes import Node, Use
-from stonetrack.soak.oracle import SERVICE_LEAST, Evidence, Lateness, Oracle, Terms, Violation
+from stonetrack.soak.faults import Fault, FaultKind, draw_faults
+from stonetrack.soak.idle_connections import IdleConnections
+from stonetrack.soak.nodes import Node, ResourceUsage
+from stonetrack.soak.oracle import MIN_SERVED_SHARE, Evidence, Lateness, Limits, Oracle, Violation
 from stonetrack.soak.platform import Platform, listen
+from stonetrack.soak.unspecified import EngineBehaviour, Unspecified
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-BEGUN = re.compile(rb"(?i)\r\nx-correlation-id: *([0-9A-Za-z_.:-]+)\r\n")
+REQUEST_ID = re.compile(rb"(?i)\r\nx-correlation-id: *([0-9A-Za-z_.:-]+)\r\n")
 LINK_LOG = "links.jsonl"
-METRONOME = 0.01  # seconds
+MONITOR_INTERVAL = 0.01  # seconds
 RELEASE_WITHIN = 500 * MS
-HELD_UP = 0.15  # seconds of a node that is held up
-CROWD_LOOK = 0.05  # seconds between two looks of a crowd
+SUSPEND_SECONDS = 0.15  # seconds of a node that is held up
+REFILL_INTERVAL = 0.05  # seconds between two looks of a crowd
 LONGEST_DEADLINE = 5.0  # seconds, of the classes below
-KILL_AFTER = min(LONGEST_DEADLINE, 3.0) + 0.7  # seconds from SIGTERM to SIGKILL: the soonest that the page allows
-CPU_AT_REST = 0.3  # seconds of a processor in one second of rest
-DESCRIPTORS_AT_REST = 100  # over those before the load: kept connections, wakers of resting workers, late answers
-THREADS_MOST = 400
-LATE_MOST = 100 * MS  # of the harness, over which a play that failed is played again
-WAITED_MOST = 0.15  # share of the time in which work had no processor, the same
-TRIES = 3  # of one seed on a machine that is short
-CALM_WITHIN = 60.0  # seconds for which the next of them waits for processors
+KILL_TIMEOUT = min(LONGEST_DEADLINE, 3.0) + 0.7  # seconds from SIGTERM to SIGKILL: the soonest that the page allows
+MAX_IDLE_CPU = 0.3  # seconds of a processor in one second of rest
+MAX_EXTRA_DESCRIPTORS = 100  # over those before the load: kept connections, wakers of resting workers, late answers
+MAX_THREADS = 400
+MAX_LATENESS = 100 * MS  # of the harness, over which a play that failed is played again
+MAX_PROCESSOR_WAIT_SHARE = 0.15  # share of the time in which work had no processor, the same
+MAX_RUNS = 3  # of one seed on a machine that is short
+PROCESSOR_WAIT_TIMEOUT = 60.0  # seconds for which the next of them waits for processors
 CLASSES = (
     Traffic(name="quick", share=2.0, deadline_ms=3_500, aim_ms=1_500, turn_tokens=(100, 600)),
     Traffic(name="keyed", share=1.0, deadline_ms=5_000, aim_ms=2_000, effect="keyed", turn_tokens=(100, 600)),
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class RunSize:
     """How large a play is."""
 
     nodes: int = 10
@@ -74,12 +74,12 @@
     seed: int
     faults: list[Fault]
     violations: list[Violation]
-    service: float
+    served_share: float
     requests: int
     lateness: int  # the harness's, at most, in nanoseconds
-    machine_waited: float  # share of the time in which work had no processor
+    processor_wait_share: float  # share of the time in which work had no processor
     evidence: Evidence
-    began: int  # monotonic ns of the load's start
+    load_started: int  # monotonic ns of the load's start
 
     @property
     def passed(self) -> bool:
@@ -87,12 +87,12 @@
         return not self.violations
 
     @property
-    def machine_short(self) -> bool:
+    def resources_exhausted(self) -> bool:
         """Whether harness or machine were so late that what was broken may be their own fault."""
-        return self.lateness > LATE_MOST or self.machine_waited > WAITED_MOST
+        return self.lateness > MAX_LATENESS or self.processor_wait_share > MAX_PROCESSOR_WAIT_SHARE
 
 
-class _Metronome:
+class _LatenessMonitor:
     """Measures by how much this process wakes up too late, and how long its links and engines take for a byte there and
     back: a link that carries late makes a node late."""
 
@@ -101,15 +101,15 @@
         self._stop = threading.Event()
         self._pulse = Pulse()
         self._pulse.start()
-        self._echo = listen()
-        link = links.add("harness", "echo", self._echo.getsockname())
-        self._through = socket.create_connection(("127.0.0.1", link.port))
-        threading.Thread(target=self._answer, daemon=True).start()
+        self._echo_listener = listen()
+        link = links.add("harness", "echo", self._echo_listener.getsockname())
+        self._probe_connection = socket.create_connection(("127.0.0.1", link.port))
+        threading.Thread(target=self._echo_bytes, daemon=True).start()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def _answer(self) -> None:
-        with contextlib.suppress(OSError), self._echo.accept()[0] as sock:
+    def _echo_bytes(self) -> None:
+        with contextlib.suppress(OSError), self._echo_listener.accept()[0] as sock:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             while data := sock.recv(16):
                 sock.sendall(data)
@@ -117,23 +117,23 @@
     def _run(self) -> None:
         while not self._stop.is_set():
             before = time.monotonic_ns()
-            self._stop.wait(METRONOME)
+            self._stop.wait(MONITOR_INTERVAL)
             with contextlib.suppress(OSError):
-                self._through.sendall(b"x")
-                self._through.recv(16)
+                self._probe_connection.sendall(b"x")
+                self._probe_connection.recv(16)
             now = time.monotonic_ns()
-            self.samples.append((now, max(0, now - before - int(METRONOME * SECOND))))
+            self.samples.append((now, max(0, now - before - int(MONITOR_INTERVAL * SECOND))))
 
     def stop(self) -> Lateness:
         self._stop.set()
         self._thread.join(2.0)
         self._pulse.stop()
-        self._through.close()
-        self._echo.close()
+        self._probe_connection.close()
+        self._echo_listener.close()
         return Lateness(self.samples, self._pulse.waits())
 
 
-def settings(nodes: int, number: int) -> dict[str, Any]:
+def node_settings(nodes: int, number: int) -> dict[str, Any]:
     """The settings of one node, nested as its configuration has them."""
     return {
         "me": number, "balancers": nodes, "zone": 0, "zones": ["a"], "kinds": ["prefill", "decode"],
@@ -156,69 +156,72 @@
     }  # fmt: skip
 
 
-def clients(rate: float) -> Clients:
+def soak_clients(rate: float) -> Clients:
     """How clients of a soak behave."""
     return Clients(rate=rate, classes=CLASSES, plain=0.0, kserve=0.0, leave_at_first=0.02, leave_early=0.04, slow=0.01,
                    half_close=0.01, stops=0.01, little_time=0.02, retries=1, retry_ms=30)  # fmt: skip
 
 
-class Play:
+class SeedRun:
     """One seed from start to verdict; ``folder`` takes logs, ``pinned`` sentences of the page are not drawn."""
 
     def __init__(
         self,
         seed: int,
-        size: Size,
+        size: RunSize,
         folder: Path,
         faults: list[Fault] | None = None,
         trace: bool = False,
-        clients_of: Clients | None = None,
+        client_settings: Clients | None = None,
         program: Path | None = None,
-        pinned: Mapping[Sentence, object] | None = None,
+        pinned: Mapping[Unspecified, object] | None = None,
     ) -> None:
         self.seed, self.size, self.folder = seed, size, folder
         self._program = program  # the checkout whose nodes are played; None: this one
-        self.clients = clients_of or clients(size.rate)
+        self.client_settings = client_settings or soak_clients(size.rate)
         shutil.rmtree(folder, ignore_errors=True)  # a play reads its nodes' logs, and none of another's
         folder.mkdir(parents=True)
-        self.world = Platform(size.prefill, size.decode, size.nodes)
-        draws = random.Random(f"world/{seed}")
-        self.world.latitude = Latitude(seed, pinned)
-        self.world.work, self.world.pause = draws.uniform(0.005, 0.06), draws.uniform(0.005, 0.03)
+        self.platform = Platform(size.prefill, size.decode, size.nodes)
+        random_source = random.Random(f"world/{seed}")
+        self.platform.behaviour = EngineBehaviour(seed, pinned)
+        self.platform.work_seconds, self.platform.event_interval = (
+            random_source.uniform(0.005, 0.06),
+            random_source.uniform(0.005, 0.03),
+        )
         self._tap = Tap(folder / LINK_LOG)
-        self.links = Links(self._tap, seed, begun=BEGUN)
+        self.links = Links(self._tap, seed, begun=REQUEST_ID)
         self._engine_links: dict[tuple[int, str], Link] = {}
         self._agent_links: list[Link] = []
-        self._wire(size)
-        engines = self.world.engines.values()
-        prefill, decode = ([e.name for e in engines if e.decodes is decodes] for decodes in (False, True))
-        self._drawn = faults is None  # a script may leave no engine to serve
-        self.faults = draw(seed, size.seconds, size.nodes, prefill, decode) if faults is None else faults
-        self._holders: list[socket.socket] = []  # nodes' ports are taken, also while their processes are away
-        self.nodes = [self._node(number, trace) for number in range(size.nodes)]
+        self._create_links(size)
+        engines = self.platform.engines.values()
+        prefill, decode = ([e.name for e in engines if e.is_decode is is_decode] for is_decode in (False, True))
+        self._faults_drawn = faults is None  # a script may leave no engine to serve
+        self.faults = draw_faults(seed, size.seconds, size.nodes, prefill, decode) if faults is None else faults
+        self._port_holders: list[socket.socket] = []  # nodes' ports are taken, also while their processes are away
+        self.nodes = [self._create_node(number, trace) for number in range(size.nodes)]
         self._watch_faults: dict[int, list[tuple[int, int]]] = defaultdict(list)
-        self._troubled: dict[str, list[tuple[int, int]]] = defaultdict(list)
+        self._faulty_periods: dict[str, list[tuple[int, int]]] = defaultdict(list)
         self._findings: list[str] = []
         self._threads: list[threading.Thread] = []
         # A process gets its parent-death signal when the thread that started it ends (prctl(2)): one lasts.
-        self._starter = ThreadPoolExecutor(1)
+        self._start_executor = ThreadPoolExecutor(1)
 
-    def _wire(self, size: Size) -> None:
+    def _create_links(self, size: RunSize) -> None:
         for number in range(size.nodes):
-            for name, engine in self.world.engines.items():
+            for name, engine in self.platform.engines.items():
                 link = self.links.add(f"n{number}", name, ("127.0.0.1", engine.port))
                 self._engine_links[number, name] = link
-            agent = self.world.agents[number]
+            agent = self.platform.agents[number]
             self._agent_links.append(self.links.add(f"n{number}", "discovery", ("127.0.0.1", agent.port)))
-        self.world.endpoint = lambda node, name: self._engine_links[node, name].address
+        self.platform.endpoint_of = lambda node, name: self._engine_links[node, name].address
 
-    def _node(self, number: int, trace: bool) -> Node:
+    def _create_node(self, number: int, trace: bool) -> Node:
         holder = bound()
-        self._holders.append(holder)
+        self._port_holders.append(holder)
         port: int = holder.getsockname()[1]
-        told = settings(self.size.nodes, number)
-        data = self.world.configuration(
-            f"n{number}", number, port, self._agent_links[number].address, told, sockets=512
+        configuration = node_settings(self.size.nodes, number)
+        data = self.platform.configuration(
+            f"n{number}", number, port, self._agent_links[number].address, configuration, sockets=512
         )
         return Node(number, port, data, self.folder / f"n{number}", trace, self._program)
 
@@ -226,69 +229,71 @@
 
     def run(self) -> Result:
         """Play it.  Raises RuntimeError where a node does not start or the clients do not end."""
-        metronome = _Metronome(self.links)
+        monitor = _LatenessMonitor(self.links)
         load: Apart | None = None
         try:
             for node in self.nodes:
                 self._start(node)
             for node in self.nodes:
-                node.wait_up()
-            before = [node.use() for node in self.nodes]
-            load = Apart(self.clients, self.size.seconds, self.seed, self.folder, "platform")
-            began = time.monotonic_ns()
-            self._play(load, began)
-            seen = load.join(LONGEST_DEADLINE + 61.0)
-            self._rest(before)
+                node.wait_until_up()
+            before = [node.resource_usage() for node in self.nodes]
+            load = Apart(self.client_settings, self.size.seconds, self.seed, self.folder, "platform")
+            load_started = time.monotonic_ns()
+            self._inject_faults(load, load_started)
+            client_records = load.join(LONGEST_DEADLINE + 61.0)
+            self._check_idle(before)
             ended = time.monotonic_ns()
-            lateness = metronome.stop()
-            return self._judge(seen, lateness, began, ended)
+            lateness = monitor.stop()
+            return self._judge(client_records, lateness, load_started, ended)
         finally:
             if load is not None:
                 load.end()
             for node in self.nodes:
                 node.kill()
             self.links.stop()
-            self.world.close()
-            self._starter.shutdown()
-            for holder in self._holders:
+            self.platform.close()
+            self._start_executor.shutdown()
+            for holder in self._port_holders:
                 holder.close()
 
     def _start(self, node: Node) -> None:
-        self._starter.submit(node.start).result()
+        self._start_executor.submit(node.start).result()
 
-    def _play(self, load: Apart, began: int) -> None:
+    def _inject_faults(self, load: Apart, load_started: int) -> None:
         pending = list(self.faults)
-        end = began + int(self.size.seconds * SECOND)
+        end = load_started + int(self.size.seconds * SECOND)
         while (now := time.monotonic_ns()) < end:
-            while pending and began + int(pending[0].at * SECOND) <= now:
-                self._begin(pending.pop(0))
+            while pending and load_started + int(pending[0].at * SECOND) <= now:
+                self._start_fault(pending.pop(0))
             for node in self.nodes:
-                node.look()
-            load.lead_to([n.address for n in self.nodes if n.part.alive and not n.lives[-1].told_to_end])
+                node.check_exit()
+            load.lead_to(
+                [n.address for n in self.nodes if n.process.alive and not n.process_runs[-1].termination_requested]
+            )
             time.sleep(0.02)
         for thread in self._threads:
-            thread.join(KILL_AFTER + 40.0)
+            thread.join(KILL_TIMEOUT + 40.0)
         load.lead_to([node.address for node in self.nodes])
 
-    def _begin(self, fault: Fault) -> None:
-        self.links.note("fault", text=fault.text())
-        thread = threading.Thread(target=self._carry_out, args=(fault,), daemon=True)
+    def _start_fault(self, fault: Fault) -> None:
+        self.links.note("fault", text=fault.describe())
+        thread = threading.Thread(target=self._inject, args=(fault,), daemon=True)
         self._threads.append(thread)
         thread.start()
 
-    def _carry_out(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         since = time.monotonic_ns()
         until = since + int((fault.seconds + 1.0) * SECOND)
         for engine in fault.engines:
-            self._troubled[engine].append((since, until))
+            self._faulty_periods[engine].append((since, until))
         try:
-            _CARRIED_OUT[fault.kind](self, fault)
+            _INJECTORS[fault.kind](self, fault)
         except Exception as error:  # a fault that can't be played makes the play void, not green
-            self._findings.append(f"harness: {fault.text()}: {type(error).__name__}: {error}")
+            self._findings.append(f"harness: {fault.describe()}: {type(error).__name__}: {error}")
         for engine in fault.engines:
-            self._troubled[engine].append((since, time.monotonic_ns() + SECOND))
+            self._faulty_periods[engine].append((since, time.monotonic_ns() + SECOND))
 
-    def _links_to(self, fault: Fault) -> list[Link]:
+    def _fault_links(self, fault: Fault) -> list[Link]:
         return [
             link
             for (node, engine), link in self._engine_links.items()
@@ -297,32 +302,32 @@
 
     def change_links(self, fault: Fault, **policy: Any) -> None:
         """Links to a fault's engines do something until it ends."""
-        links = self._links_to(fault)
+        links = self._fault_links(fault)
         for link in links:
             self.links.change(link, **policy)
         time.sleep(fault.seconds)
         for link in links:
             self.links.change(link, **{name: type(value)() for name, value in policy.items()})
 
-    def silence_kept(self, fault: Fault) -> None:
+    def silence_open_connections(self, fault: Fault) -> None:
         """Connections that are open now fall silent."""
-        links = self._links_to(fault)
+        links = self._fault_links(fault)
         for link in links:
             self.links.silence_open(link)
         time.sleep(fault.seconds)
         for link in links:
             self.links.speak_again(link)
 
-    def silence_kept_for_good(self, fault: Fault) -> None:
+    def silence_open_connections_permanently(self, fault: Fault) -> None:
         """Connections that are open now fall silent; none of their bytes arrives, unless the end of another fault on
         the same links lets them."""
-        for link in self._links_to(fault):
+        for link in self._fault_links(fault):
             self.links.silence_open(link)
         time.sleep(LONGEST_DEADLINE)  # by then no request waits on them
 
     def unreachable(self, fault: Fault) -> None:
         """New connections never come up."""
-        links = self._links_to(fault)
+        links = self._fault_links(fault)
         for link in links:
             self.links.unreachable(link, True)
         time.sleep(fault.seconds)
@@ -331,41 +336,41 @@
 
     def reset(self, fault: Fault) -> None:
         """All connections are reset."""
-        for link in self._links_to(fault):
+        for link in self._fault_links(fault):
             self.links.reset(link)
 
     def kill_engine(self, fault: Fault) -> None:
         """An engine dies and comes back cold."""
         for engine in fault.engines:
-            self.world.engines[engine].close()
+            self.platform.engines[engine].close()
         time.sleep(fault.seconds)
         for engine in fault.engines:
-            self.world.restarted(engine)
+            self.platform.restart_engine(engine)
 
-    def trouble(self, fault: Fault) -> None:
+    def inject_engine_fault(self, fault: Fault) -> None:
         """An engine does something wrong."""
         for engine in fault.engines:
-            self.world.engines[engine].trouble = fault.trouble
+            self.platform.engines[engine].fault = fault.engine_fault
         time.sleep(fault.seconds)
         for engine in fault.engines:
-            self.world.engines[engine].trouble = None
+            self.platform.engines[engine].fault = None
 
     def drain(self, fault: Fault) -> None:
         """An engine drains and comes back."""
         for engine in fault.engines:
-            self.world.change(engine, "DRAINING")
+            self.platform.change_state(engine, "DRAINING")
         time.sleep(fault.seconds)
         for engine in fault.engines:
-            self.world.change(engine, "SERVING")
+            self.platform.change_state(engine, "SERVING")
 
     def silence_agent(self, fault: Fault) -> None:
         """A node's agent says nothing."""
-        agent, since = self.world.agents[fault.node], time.monotonic_ns()
+        agent, since = self.platform.agents[fault.node], time.monotonic_ns()
         agent.silent = True
         time.sleep(fault.seconds)
         agent.silent = False
-        with self.world.changed:
-            self.world.changed.notify_all()
+        with self.platform.changed:
+            self.platform.changed.notify_all()
         self._watch_faults[fault.node].append((since, time.monotonic_ns()))
 
     def silence_watch(self, fault: Fault) -> None:
@@ -380,133 +385,135 @@
     def terminate(self, fault: Fault) -> None:
         """A node is told to end, and started again."""
         node = self.nodes[fault.node]
-        with node.one_at_a_time:
-            node.terminate(KILL_AFTER)
+        with node.control_lock:
+            node.terminate(KILL_TIMEOUT)
             self._start(node)
-            node.wait_up()
+            node.wait_until_up()
 
     def kill_node(self, fault: Fault) -> None:
         """A node is killed, and started again."""
         node = self.nodes[fault.node]
-        with node.one_at_a_time:
+        with node.control_lock:
             node.kill()
             time.sleep(min(fault.seconds, 1.0))
             self._start(node)
-            node.wait_up()
+            node.wait_until_up()
 
     def reload(self, fault: Fault) -> None:
         """A node reads its configuration again."""
         node = self.nodes[fault.node]
-        with node.one_at_a_time:
+        with node.control_lock:
             node.reload()
 
-    def hold_up(self, fault: Fault) -> None:
+    def suspend(self, fault: Fault) -> None:
         """A node is held up, several times."""
         node, until = self.nodes[fault.node], time.monotonic() + fault.seconds
         while time.monotonic() < until:
-            with node.one_at_a_time:
-                node.hold_up(HELD_UP)
+            with node.control_lock:
+                node.suspend(SUSPEND_SECONDS)
             time.sleep(0.4)
 
-    def crowd(self, fault: Fault) -> None:
+    def open_idle_connections(self, fault: Fault) -> None:
         """Silent connections crowd a node, through its ends and restarts."""
         until = time.monotonic() + fault.seconds
-        with Crowd(self.nodes[fault.node].address, fault.amount) as crowd:
+        with IdleConnections(self.nodes[fault.node].address, fault.amount) as connections:
             while time.monotonic() < until:
-                crowd.look()
-                time.sleep(CROWD_LOOK)
-            self.links.note("crowd", node=fault.node, opened=crowd.opened, closed_by_node=crowd.closed_by_node)
+                connections.refill()
+                time.sleep(REFILL_INTERVAL)
+            self.links.note(
+                "crowd", node=fault.node, opened=connections.opened, closed_by_node=connections.closed_by_node
+            )
 
     # Rest and verdict.
 
-    def _rest(self, before: list[Use]) -> None:
+    def _check_idle(self, before: list[ResourceUsage]) -> None:
         time.sleep(self.size.quiet)
         for node, first in zip(self.nodes, before, strict=True):
             with contextlib.suppress(OSError):
-                cpu = node.use().cpu_seconds
+                cpu = node.resource_usage().cpu_seconds
                 time.sleep(0.2)
-                now = node.use()
-                if (now.cpu_seconds - cpu) / 0.2 > CPU_AT_REST:
+                now = node.resource_usage()
+                if (now.cpu_seconds - cpu) / 0.2 > MAX_IDLE_CPU:
                     self._findings.append(f"{node.name} uses {(now.cpu_seconds - cpu) / 0.2:.2f} of a core at rest")
-                if now.descriptors > first.descriptors + DESCRIPTORS_AT_REST:
+                if now.descriptors > first.descriptors + MAX_EXTRA_DESCRIPTORS:
                     self._findings.append(f"{node.name}: {first.descriptors} descriptors became {now.descriptors}")
-                if now.threads > THREADS_MOST:
+                if now.threads > MAX_THREADS:
                     self._findings.append(f"{node.name}: {now.threads} threads at rest")
-            node.look()
+            node.check_exit()
             self._findings += node.crashes
 
-    def _judge(self, seen: list[Seen], lateness: Lateness, began: int, ended: int) -> Result:
+    def _judge(self, client_records: list[Seen], lateness: Lateness, load_started: int, ended: int) -> Result:
         self.links.do(self._tap.flush)
-        complaints = []
+        invariant_log_lines = []
         for node in self.nodes:
-            lines = node.log.read_text("utf-8", "replace").splitlines()
-            complaints += [f"{node.name} {line}" for line in lines if " INVARIANT " in line]
+            lines = node.log_path.read_text("utf-8", "replace").splitlines()
+            invariant_log_lines += [f"{node.name} {line}" for line in lines if " INVARIANT " in line]
             self._findings += [f"{node.name}: {line}" for line in lines if "Traceback" in line or " it goes on" in line]
-        with self.world.lock:
-            books = self.world.books
+        with self.platform.lock:
+            records = self.platform.state_records
             evidence = Evidence(
-                seen,
-                list(books.arrivals),
-                [*books.stays, *books.still_held()],
+                client_records,
+                list(records.arrivals),
+                [*records.history, *records.still_held()],
                 read(self.folder / LINK_LOG),
-                list(self.world.changes),
-                {agent.node: list(agent.told) for agent in self.world.agents},
+                list(self.platform.changes),
+                {agent.node: list(agent.deliveries) for agent in self.platform.agents},
                 dict(self._watch_faults),
-                {node.number: node.lives for node in self.nodes},
+                {node.number: node.process_runs for node in self.nodes},
                 lateness,
                 ended,
-                dict(self._troubled),
-                complaints,
+                dict(self._faulty_periods),
+                invariant_log_lines,
                 self._findings,
             )
         unsafe = frozenset(each.name for each in CLASSES if each.effect == "unsafe")
-        oracle = Oracle(evidence, Terms(RELEASE_WITHIN, unsafe, SERVICE_LEAST if self._drawn else 0.0))
-        late = lateness.own(began, ended)
+        oracle = Oracle(evidence, Limits(RELEASE_WITHIN, unsafe, MIN_SERVED_SHARE if self._faults_drawn else 0.0))
+        late = lateness.harness_maximum(load_started, ended)
         return Result(
-            self.seed, self.faults, oracle.violations(), oracle.service(), len(seen), late, lateness.waits.share(),
-            evidence, began)  # fmt: skip
+            self.seed, self.faults, oracle.violations(), oracle.served_share(), len(client_records), late,
+            lateness.waits.share(), evidence, load_started)  # fmt: skip
 
 
-def judged(
-    make: Callable[[], Play],
-    say: Callable[[str], None] = print,
+def run_with_retries(
+    create_run: Callable[[], SeedRun],
+    output: Callable[[str], None] = print,
     expected: Callable[[Result], bool] = lambda result: result.passed,
 ) -> Result:
     """Play a seed; again where what came of it is not what was expected and the machine was short, ``TRIES`` times in
     all, each of them said."""
-    result = make().run()
-    for tried in range(2, TRIES + 1):
-        if expected(result) or not result.machine_short:
+    result = create_run().run()
+    for number in range(2, MAX_RUNS + 1):
+        if expected(result) or not result.resources_exhausted:
             break
-        late, waited = result.lateness / MS, result.machine_waited
-        say(
+        late, waited = result.lateness / MS, result.processor_wait_share
+        output(
             f"seed {result.seed}: the machine was short (late by {late:.0f} ms, waited for {waited:.2f} of the time), "
-            f"{len(result.violations)} violations; play {tried} of {TRIES}"
+            f"{len(result.violations)} violations; play {number} of {MAX_RUNS}"
         )
-        wait_for_processors(CALM_WITHIN)
-        result = make().run()
+        wait_for_processors(PROCESSOR_WAIT_TIMEOUT)
+        result = create_run().run()
     return result
 
 
-_CARRIED_OUT: dict[Kind, Callable[[Play, Fault], None]] = {
-    Kind.ENGINE_SILENT: lambda play, fault: play.change_links(fault, cut_there=True, cut_back=True),
-    Kind.ROLE_SILENT: lambda play, fault: play.change_links(fault, cut_there=True, cut_back=True),
-    Kind.KEPT_SILENT: Play.silence_kept,
-    Kind.KEPT_SILENT_FOR_GOOD: Play.silence_kept_for_good,
-    Kind.ONE_WAY_THERE: lambda play, fault: play.change_links(fault, cut_there=True),
-    Kind.ONE_WAY_BACK: lambda play, fault: play.change_links(fault, cut_back=True),
-    Kind.UNREACHABLE: Play.unreachable,
-    Kind.SLOW_LINK: lambda play, fault: play.change_links(fault, delay=20 * MS, jitter=60 * MS, rate=20_000),
-    Kind.BREAKS_IN_ANSWER: lambda play, fault: play.change_links(fault, break_after=fault.amount),
-    Kind.RESETS: Play.reset,
-    Kind.KILL_ENGINE: Play.kill_engine,
-    Kind.TROUBLE: Play.trouble,
-    Kind.DRAIN: Play.drain,
-    Kind.DISCOVERY_SILENT: Play.silence_agent,
-    Kind.WATCH_SILENT: Play.silence_watch,
-    Kind.TERM: Play.terminate,
-    Kind.KILL_NODE: Play.kill_node,
-    Kind.HUP: Play.reload,
-    Kind.STOP_NODE: Play.hold_up,
-    Kind.CROWD: Play.crowd,
+_INJECTORS: dict[FaultKind, Callable[[SeedRun, Fault], None]] = {
+    FaultKind.ENGINE_SILENT: lambda run, fault: run.change_links(fault, cut_there=True, cut_back=True),
+    FaultKind.ROLE_SILENT: lambda run, fault: run.change_links(fault, cut_there=True, cut_back=True),
+    FaultKind.KEPT_SILENT: SeedRun.silence_open_connections,
+    FaultKind.KEPT_SILENT_FOR_GOOD: SeedRun.silence_open_connections_permanently,
+    FaultKind.ONE_WAY_THERE: lambda run, fault: run.change_links(fault, cut_there=True),
+    FaultKind.ONE_WAY_BACK: lambda run, fault: run.change_links(fault, cut_back=True),
+    FaultKind.UNREACHABLE: SeedRun.unreachable,
+    FaultKind.SLOW_LINK: lambda run, fault: run.change_links(fault, delay=20 * MS, jitter=60 * MS, rate=20_000),
+    FaultKind.BREAKS_IN_ANSWER: lambda run, fault: run.change_links(fault, break_after=fault.amount),
+    FaultKind.RESETS: SeedRun.reset,
+    FaultKind.KILL_ENGINE: SeedRun.kill_engine,
+    FaultKind.TROUBLE: SeedRun.inject_engine_fault,
+    FaultKind.DRAIN: SeedRun.drain,
+    FaultKind.DISCOVERY_SILENT: SeedRun.silence_agent,
+    FaultKind.WATCH_SILENT: SeedRun.silence_watch,
+    FaultKind.TERM: SeedRun.terminate,
+    FaultKind.KILL_NODE: SeedRun.kill_node,
+    FaultKind.HUP: SeedRun.reload,
+    FaultKind.STOP_NODE: SeedRun.suspend,
+    FaultKind.CROWD: SeedRun.open_idle_connections,
 }
--- a/stonetrack/soak/latitude.py
+++ b/stonetrack/soak/unspecified.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 
-class Sentence(Enum):
+class Unspecified(Enum):
     """One sentence of the page that leaves something open."""
 
     RESERVATION_REPLY = "200 when held, 409 when not held, 204 when not known, 404 where nothing was done; or silence"
@@ -40,83 +40,83 @@
         return 204 if self is Reply.UNKNOWN_LATE else self.value
 
 
-CHOICES: Mapping[Sentence, tuple[object, ...]] = {
-    Sentence.RESERVATION_REPLY: tuple(Reply),
-    Sentence.RESERVATION_UNKNOWN: (True, False),  # held all the same
-    Sentence.GIVEN_UP: (False, False, True),  # a read that was given up goes on to its end and leaves its state
-    Sentence.GIVEN_UP_TOLD: (True, False),  # it is answered when it ends, or its connection is closed then
-    Sentence.RELEASE_INTO_READ: (True, True, False),  # what a running read brings about is released with the rest
-    Sentence.TURNED_AWAY: (503, 504),
+CHOICES: Mapping[Unspecified, tuple[object, ...]] = {
+    Unspecified.RESERVATION_REPLY: tuple(Reply),
+    Unspecified.RESERVATION_UNKNOWN: (True, False),  # held all the same
+    Unspecified.GIVEN_UP: (False, False, True),  # a read that was given up goes on to its end and leaves its state
+    Unspecified.GIVEN_UP_TOLD: (True, False),  # it is answered when it ends, or its connection is closed then
+    Unspecified.RELEASE_INTO_READ: (True, True, False),  # what a running read brings about is released with the rest
+    Unspecified.TURNED_AWAY: (503, 504),
 }
 """The readings of each sentence; one that stands twice is drawn twice as often."""
 
-KINDEST: Mapping[Sentence, object] = {
-    Sentence.RESERVATION_REPLY: Reply.HELD,
-    Sentence.RESERVATION_UNKNOWN: False,
-    Sentence.GIVEN_UP: False,
-    Sentence.GIVEN_UP_TOLD: True,
-    Sentence.RELEASE_INTO_READ: True,
-    Sentence.TURNED_AWAY: 503,
+MOST_HELPFUL: Mapping[Unspecified, object] = {
+    Unspecified.RESERVATION_REPLY: Reply.HELD,
+    Unspecified.RESERVATION_UNKNOWN: False,
+    Unspecified.GIVEN_UP: False,
+    Unspecified.GIVEN_UP_TOLD: True,
+    Unspecified.RELEASE_INTO_READ: True,
+    Unspecified.TURNED_AWAY: 503,
 }
 """For tests that look at something else."""
 
-LEAST_HELPFUL: Mapping[Sentence, tuple[object, ...]] = {
-    Sentence.RESERVATION_REPLY: (Reply.HELD, Reply.SILENCE),
-    Sentence.RESERVATION_UNKNOWN: (True,),
-    Sentence.GIVEN_UP: (True,),
-    Sentence.GIVEN_UP_TOLD: (False,),
-    Sentence.RELEASE_INTO_READ: (False,),
-    Sentence.TURNED_AWAY: (504,),
+LEAST_HELPFUL: Mapping[Unspecified, tuple[object, ...]] = {
+    Unspecified.RESERVATION_REPLY: (Reply.HELD, Reply.SILENCE),
+    Unspecified.RESERVATION_UNKNOWN: (True,),
+    Unspecified.GIVEN_UP: (True,),
+    Unspecified.GIVEN_UP_TOLD: (False,),
+    Unspecified.RELEASE_INTO_READ: (False,),
+    Unspecified.TURNED_AWAY: (504,),
 }
 """The readings that help a node least: what it holds to be proven may not be."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reservation:
+class ReservationOutcome:
     """What becomes of one reservation call, whatever became of the prefill attempt."""
 
     reply: Reply
     held: bool
 
 
-class Latitude:
+class EngineBehaviour:
     """Draws one reading of each sentence for each request; ``pinned`` sentences are not drawn.
 
     Raises ValueError for a pinned reading that the page does not allow."""
 
-    def __init__(self, seed: int, pinned: Mapping[Sentence, object] | None = None) -> None:
+    def __init__(self, seed: int, pinned: Mapping[Unspecified, object] | None = None) -> None:
         self._seed, self._pinned = seed, dict(pinned or {})
-        for sentence, reading in self._pinned.items():
-            if reading not in CHOICES[sentence]:
-                raise ValueError(f"{sentence.name}: found {reading!r}; allowed: {CHOICES[sentence]}")
+        for unspecified, choice in self._pinned.items():
+            if choice not in CHOICES[unspecified]:
+                raise ValueError(f"{unspecified.name}: found {choice!r}; allowed: {CHOICES[unspecified]}")
 
-    def _of(self, sentence: Sentence, request: str) -> object:
-        if sentence in self._pinned:
-            return self._pinned[sentence]
-        return random.Random(f"{self._seed}/{sentence.name}/{request}").choice(CHOICES[sentence])
+    def _choice(self, unspecified: Unspecified, request: str) -> object:
+        if unspecified in self._pinned:
+            return self._pinned[unspecified]
+        return random.Random(f"{self._seed}/{unspecified.name}/{request}").choice(CHOICES[unspecified])
 
-    def reservation(self, request: str) -> Reservation:
+    def reservation(self, request: str) -> ReservationOutcome:
         """The answer to a reservation, and whether one is held from then on."""
-        reply = self._of(Sentence.RESERVATION_REPLY, request)
+        reply = self._choice(Unspecified.RESERVATION_REPLY, request)
         assert isinstance(reply, Reply)
         unknown = reply in (Reply.UNKNOWN_AT_ONCE, Reply.UNKNOWN_LATE, Reply.SILENCE)
-        held = reply is Reply.HELD or unknown and bool(self._of(Sentence.RESERVATION_UNKNOWN, request))
-        return Reservation(reply, held)
+        held = reply is Reply.HELD or unknown and bool(self._choice(Unspecified.RESERVATION_UNKNOWN, request))
+        return ReservationOutcome(reply, held)
 
-    def reads_on(self, request: str) -> bool:
+    def prefill_continues(self, request: str) -> bool:
         """Whether a read that is given up goes on to its end and leaves its state."""
-        return bool(self._of(Sentence.GIVEN_UP, request))
+        return bool(self._choice(Unspecified.GIVEN_UP, request))
 
-    def tells_late_end(self, request: str) -> bool:
+    def answers_late_prefill(self, request: str) -> bool:
         """Whether such a read is answered at its end, where the connection still takes it; else it is closed then."""
-        return bool(self._of(Sentence.GIVEN_UP_TOLD, request))
+        return bool(self._choice(Unspecified.GIVEN_UP_TOLD, request))
 
-    def release_takes_running_read(self, request: str) -> bool:
+    def release_includes_running_prefill(self, request: str) -> bool:
         """Whether a release also takes the state of a read that has not ended."""
-        return bool(self._of(Sentence.RELEASE_INTO_READ, request))
+        return bool(self._choice(Unspecified.RELEASE_INTO_READ, request))
 
-    def turned_away(self, request: str) -> int:
+    def rejection_status(self, request: str) -> int:
         """The status with which a full engine turns away."""
-        status = self._of(Sentence.TURNED_AWAY, request)
+        status = self._choice(Unspecified.TURNED_AWAY, request)
         assert isinstance(status, int)
         return status
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -16,13 +16,13 @@
 from stonetrack.edge.serve import EdgeNode
 from stonetrack.frontend.host import listen
 from stonetrack.soak import platform as emulated
-from stonetrack.soak.platform import CHAT, REPORT, Discovery
+from stonetrack.soak.platform import CHAT, LOAD_REPORT, Discovery
 from stonetrack.wire import http1
 from tests.harness import Client, wait_for
 from tests.test_edge import SETTINGS
 
-__all__ = ["CHAT", "REPORT", "Platform", "Program", "round_trip", "is_idle", "free_port", "headers", "node", "platform",
-           "program", "is_serving"]  # fmt: skip
+__all__ = ["CHAT", "LOAD_REPORT", "Platform", "Program", "round_trip", "is_idle", "free_port", "headers", "node",
+           "platform", "program", "is_serving"]  # fmt: skip
 
 
 def free_port() -> int:
@@ -35,7 +35,7 @@
 
     def __init__(self, prefill_engines: int, decode_engines: int) -> None:
         super().__init__(prefill_engines, decode_engines)
-        self.unknown_after = 0.02  # seconds; short, so that tests do not wait for it
+        self.unknown_reply_delay = 0.02  # seconds; short, so that tests do not wait for it
         self.listen = free_port()
 
     @property
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -19,8 +19,8 @@
 from stonetrack.engines.release_queue import PendingRelease, ReleaseResult
 from stonetrack.node.invariants import ARRIVING, MS, Ledger
 from stonetrack.node.transitions import Step, Transition
-from stonetrack.soak.latitude import KINDEST, Latitude, Sentence
-from stonetrack.soak.platform import Trouble
+from stonetrack.soak.platform import EngineFault
+from stonetrack.soak.unspecified import MOST_HELPFUL, EngineBehaviour, Unspecified
 from tests.harness import Client, wait_for
 from tests.platform import headers, node, platform
 
@@ -232,12 +232,14 @@
 def test_a_stopping_node_waits_for_abandoned_prefills_as_long_as_the_page_allows() -> None:
     """The engine recovers 2.7 s after TERM, finishes an abandoned prefill, and would hold its state for good."""
     with platform(2, 1) as emulated, node(emulated) as edge_node:
-        emulated.latitude = Latitude(0, {**KINDEST, Sentence.GIVEN_UP: True, Sentence.RELEASE_INTO_READ: False})
+        emulated.behaviour = EngineBehaviour(
+            0, {**MOST_HELPFUL, Unspecified.GIVEN_UP: True, Unspecified.RELEASE_INTO_READ: False}
+        )
         for name in ("r0", "r1"):
-            emulated.engines[name].trouble = Trouble.HANG_BEFORE
+            emulated.engines[name].fault = EngineFault.HANG_BEFORE
         client = Client(emulated.listen)
         client.send_request(b"{}", headers=headers("q"))
-        assert wait_for(lambda: any(what == "read" for what, _ in emulated.which("q")))
+        assert wait_for(lambda: any(what == "read" for what, _ in emulated.calls_for("q")))
         client.close()
         assert wait_for(lambda: len(edge_node.abandoned) == 1)
         began = time.monotonic()
@@ -245,11 +247,11 @@
         draining.start()
         time.sleep(2.7)
         for name in ("r0", "r1"):
-            emulated.engines[name].trouble = None
+            emulated.engines[name].fault = None
         draining.join(5.0)
         assert time.monotonic() - began < 3.0 + 0.7, "the node would have been killed by then"
         assert not emulated.held
         with emulated.lock:
-            assert [stay.engine in ("r0", "r1") for stay in emulated.books.stays] == [True], (
+            assert [held.engine in ("r0", "r1") for held in emulated.state_records.history] == [True], (
                 "the prefill did not leave exactly one state"
             )
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -19,8 +19,8 @@
 from stonetrack.node.request_runner import Waker
 from stonetrack.node.sockets import System
 from stonetrack.settings.schema import Limits, Timing
-from stonetrack.soak.latitude import KINDEST, Latitude, Sentence
-from stonetrack.soak.platform import Trouble
+from stonetrack.soak.platform import EngineFault
+from stonetrack.soak.unspecified import MOST_HELPFUL, EngineBehaviour, Unspecified
 from stonetrack.wire import http1
 from tests.harness import CHAT, Client, wait_for
 from tests.platform import headers, node, platform, round_trip
@@ -269,14 +269,14 @@
 def test_a_list_that_can_not_be_decoded_is_requested_again(capfd: pytest.CaptureFixture[str]) -> None:
     """Such a list was skipped and the version of the next one adopted, so that its changes were lost for good."""
     with platform() as emulated, node(emulated) as edge_node:
-        assert wait_for(lambda: edge_node.engine_table.rev == 1 and len(emulated.discovery.asked) == 1)
+        assert wait_for(lambda: edge_node.engine_table.rev == 1 and len(emulated.discovery.request_targets) == 1)
         real_document = emulated.document
         broken = b'{"rev": 2, "all": false, "targets": [{"uid": 7}]}'
         emulated.document = lambda node=0: broken  # type: ignore[method-assign]
-        emulated.change("w0", "DRAINING")
-        assert wait_for(lambda: len(emulated.discovery.asked) > 3)
+        emulated.change_state("w0", "DRAINING")
+        assert wait_for(lambda: len(emulated.discovery.request_targets) > 3)
         assert edge_node.engine_table.rev == 1 and edge_node.engine_table.engines["w0"].up
-        assert all(target.endswith("&after=1") for target in emulated.discovery.asked[1:])
+        assert all(target.endswith("&after=1") for target in emulated.discovery.request_targets[1:])
         emulated.document = real_document  # type: ignore[method-assign]
         assert wait_for(lambda: not edge_node.engine_table.engines["w0"].up)
     logged = [line for line in capfd.readouterr().err.splitlines() if "Expected `str`" in line]
@@ -287,24 +287,26 @@
 def test_state_created_after_its_request_moved_on_is_released(pause: float) -> None:
     """An abandoned prefill went on: the engine held state for a request that no longer needed it."""
     with platform() as emulated, node(emulated) as edge_node:
-        emulated.latitude = Latitude(0, {**KINDEST, Sentence.GIVEN_UP: True, Sentence.RELEASE_INTO_READ: False})
-        emulated.pause, slow = pause, emulated.engines["r0"]
-        emulated.work = 0.02
-        slow.trouble = Trouble.HANG_BEFORE
+        emulated.behaviour = EngineBehaviour(
+            0, {**MOST_HELPFUL, Unspecified.GIVEN_UP: True, Unspecified.RELEASE_INTO_READ: False}
+        )
+        emulated.event_interval, slow = pause, emulated.engines["r0"]
+        emulated.work_seconds = 0.02
+        slow.fault = EngineFault.HANG_BEFORE
         client = Client(emulated.listen)
         for n in range(12):
             assert round_trip(client, f"q{n}")[0].status == 200
-        first = {each.request: each.engine for each in reversed(emulated.seen) if each.what == "read"}
+        first = {each.request: each.engine for each in reversed(emulated.calls) if each.what == "read"}
         late = [request for request, engine in first.items() if engine == "r0"]
         assert late, "no prefill was abandoned at r0"
-        slow.trouble = None
+        slow.fault = None
         assert wait_for(lambda: edge_node.abandoned.counts.told >= len(late))
         assert wait_for(lambda: not emulated.held and not len(edge_node.abandoned), 3.0), (
             emulated.held,
             edge_node.abandoned.counts,
         )
         with emulated.lock:
-            longest = max((stay.until - stay.since) / 1e9 for stay in emulated.books.stays)
+            longest = max((held.until - held.since) / 1e9 for held in emulated.state_records.history)
         assert longest < 0.5 + 0.3
 
 
@@ -339,5 +341,5 @@
             assert wait_for(lambda: edge_node.core.open_requests == 0, 1.0)
             hold.set()
         time.sleep(0.2)
-        assert not [what for what, _ in emulated.which("gone") if what in ("read", "write")]
+        assert not [what for what, _ in emulated.calls_for("gone") if what in ("read", "write")]
         assert round_trip(Client(emulated.listen), "next")[0].status == 200
--- a/tests/test_edge_serving.py
+++ b/tests/test_edge_serving.py
@@ -27,11 +27,11 @@
 from stonetrack.logic import MS, SECOND
 from stonetrack.node.invariants import Invariant
 from stonetrack.node.ports import AttemptResult, InferenceRequest
-from stonetrack.soak.engine_side import Kind as Held
-from stonetrack.soak.latitude import KINDEST, Latitude, Sentence
+from stonetrack.soak.engine_side import HeldKind
+from stonetrack.soak.unspecified import MOST_HELPFUL, EngineBehaviour, Unspecified
 from stonetrack.wire import writer
 from tests.harness import Client, wait_for
-from tests.platform import CHAT, REPORT, Platform, headers, is_idle, node, platform, program, round_trip
+from tests.platform import CHAT, LOAD_REPORT, Platform, headers, is_idle, node, platform, program, round_trip
 
 
 def test_a_request_is_prefilled_and_decoded_and_no_state_is_leaked() -> None:
@@ -39,17 +39,19 @@
         client = Client(world.listen)
         for n in range(20):
             head, body = round_trip(client, f"q{n}")
-            assert head.status == 200 and body.count(b"data: ") == world.events + 2 and b"[DONE]" in body
-            assert [what for what, _ in world.which(f"q{n}")] == ["read", "write"]
-            assert world.bodies[f"q{n}"] == b'{"model":"chat"}' and 0 < int(world.left[f"q{n}"][:-1]) <= 3000
+            assert head.status == 200 and body.count(b"data: ") == world.event_count + 2 and b"[DONE]" in body
+            assert [what for what, _ in world.calls_for(f"q{n}")] == ["read", "write"]
+            assert (
+                world.request_bodies[f"q{n}"] == b'{"model":"chat"}' and 0 < int(world.times_left[f"q{n}"][:-1]) <= 3000
+            )
         client.close()
-        assert wait_for(lambda: is_idle(edge_node)) and not world.held and world.most_out == 1
+        assert wait_for(lambda: is_idle(edge_node)) and not world.held and world.max_concurrent_attempts == 1
         assert edge_node.core.router.servers["r0"].report is not None  # type: ignore[attr-defined]
 
 
 def test_the_routers_counts_match_the_sockets(capfd: pytest.CaptureFixture[str]) -> None:
     with platform(1, 1) as world, node(world, traced=True) as edge_node:
-        world.pause = 0.2
+        world.event_interval = 0.2
         clients = [Client(world.listen) for _ in range(3)]
         for n, client in enumerate(clients):
             client.send_request(b"{}", headers=headers(f"q{n}"))
@@ -92,32 +94,32 @@
         oversized = Client(world.listen)
         oversized.send(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 62914560\r\n\r\n")
         assert oversized.answer()[0].status == 413
-        assert [what for _, what, _, _ in world.seen].count("read") == 1
+        assert [what for _, what, _, _ in world.calls].count("read") == 1
 
 
 def test_a_running_requests_id_is_refused_and_the_running_request_continues() -> None:
     with platform() as world, node(world):
-        world.pause = 0.05
+        world.event_interval = 0.05
         first, second = Client(world.listen), Client(world.listen)
         answers: list[int] = []
         thread = threading.Thread(target=lambda: answers.append(round_trip(first, "same")[0].status))
         thread.start()
-        assert wait_for(lambda: ("read", "r0") in world.which("same") or ("read", "r1") in world.which("same"))
+        assert wait_for(lambda: ("read", "r0") in world.calls_for("same") or ("read", "r1") in world.calls_for("same"))
         assert round_trip(second, "same")[0].status == 409
         thread.join(5.0)
-        assert answers == [200] and world.most_out == 1
-        before = world.which("same")
+        assert answers == [200] and world.max_concurrent_attempts == 1
+        before = world.calls_for("same")
         assert round_trip(second, "same")[0].status == 409  # engines may still hold a state or a reservation for it
-        assert world.which("same") == before
+        assert world.calls_for("same") == before
 
 
 def test_an_invalid_request_is_answered_and_ejects_no_engine() -> None:
     with platform() as world, node(world) as edge_node:
         for name in ("r0", "r1"):
-            world.engines[name].faults.extend(["400"] * 2)
+            world.engines[name].scripted_faults.extend(["400"] * 2)
         client = Client(world.listen)
         assert round_trip(client, "bad")[0].status == 400
-        tried = [what for what, _ in world.which("bad") if what != "release"]  # the release follows at any time
+        tried = [what for what, _ in world.calls_for("bad") if what != "release"]  # the release follows at any time
         assert tried == ["read"]
         assert not any(s.ejections for s in edge_node.core.router.servers.values())  # type: ignore[attr-defined]
 
@@ -127,19 +129,19 @@
     with platform() as world, node(world):
         for engine in world.engines.values():
             engine.release_delay = 0.03
-        world.work = 0.01
+        world.work_seconds = 0.01
         client = Client(world.listen)
         for n in range(6):
-            world.engines["r0"].faults.append("reset")
-            world.engines["r1"].faults.append("reset")
+            world.engines["r0"].scripted_faults.append("reset")
+            world.engines["r1"].scripted_faults.append("reset")
             assert round_trip(client, f"q{n}")[0].status in (200, 503)
             for name in ("r0", "r1"):
-                world.engines[name].faults.clear()
-            calls = [what for what, _ in world.which(f"q{n}")]
+                world.engines[name].scripted_faults.clear()
+            calls = [what for what, _ in world.calls_for(f"q{n}")]
             if calls.count("read") == 2 and "release" in calls:
                 last_prefill = len(calls) - 1 - calls[::-1].index("read")
                 assert "release" not in calls[last_prefill:], calls
-        assert any("release" in [what for what, _ in world.which(f"q{n}")] for n in range(6))
+        assert any("release" in [what for what, _ in world.calls_for(f"q{n}")] for n in range(6))
 
 
 def test_a_release_is_retried_while_an_attempt_connects() -> None:
@@ -198,13 +200,13 @@
         )
         result = edge_node.engines.start(request, "r0", 0, None, False, lambda server: True)
         assert isinstance(result, AttemptResult) and result.outcome is api.Outcome.NOT_SENT
-        assert edge_node.releases.open and not world.which("q")
+        assert edge_node.releases.open and not world.calls_for("q")
         reachable.set()
         assert wait_for(lambda: not edge_node.releases.open)
         assert not isinstance(
             edge_node.engines.start(request, "r0", 1, None, False, lambda server: True), AttemptResult
         )
-        assert wait_for(lambda: [what for what, _ in world.which("q")] == ["release", "read"])
+        assert wait_for(lambda: [what for what, _ in world.calls_for("q")] == ["release", "read"])
 
 
 def test_a_release_is_sent_while_its_requests_thread_connects() -> None:
@@ -225,9 +227,9 @@
         edge_node.pool.acquire = connect_slowly  # type: ignore[method-assign]
         slow.set()
         client.send_request(b"{}", headers=headers("q"))
-        assert wait_for(lambda: ("release", "r0") in world.which("q"), 5.0)
-        prefilled_at = next(each.at for each in world.seen if (each.what, each.request) == ("read", "q"))
-        released_at = next(each.at for each in world.seen if (each.what, each.request) == ("release", "q"))
+        assert wait_for(lambda: ("release", "r0") in world.calls_for("q"), 5.0)
+        prefilled_at = next(each.at for each in world.calls if (each.what, each.request) == ("read", "q"))
+        released_at = next(each.at for each in world.calls if (each.what, each.request) == ("release", "q"))
         assert released_at - prefilled_at < 0.75, "the release waited for the connecting thread"
         slow.clear()
         assert client.answer()[0].status in (200, 502, 503)
@@ -237,18 +239,23 @@
 def test_a_release_that_may_precede_the_end_of_a_prefill_is_followed_by_others() -> None:
     """A release after a broken connection is acknowledged while the prefill still runs, whose state appears later."""
     with platform(1, 1) as world, node(world) as edge_node:
-        world.latitude = Latitude(0, {**KINDEST, Sentence.GIVEN_UP: True, Sentence.RELEASE_INTO_READ: False})
-        world.work = 0.2
+        world.behaviour = EngineBehaviour(
+            0, {**MOST_HELPFUL, Unspecified.GIVEN_UP: True, Unspecified.RELEASE_INTO_READ: False}
+        )
+        world.work_seconds = 0.2
         client = Client(world.listen)
         client.send_request(b"{}", headers=headers("q"))
-        assert wait_for(lambda: ("read", "r0") in world.which("q"))
+        assert wait_for(lambda: ("read", "r0") in world.calls_for("q"))
         client.close()
-        assert wait_for(lambda: ("release", "r0") in world.which("q") or ("release", "w0") in world.which("q"))
-        assert wait_for(lambda: bool(world.held or world.books.stays)), "the prefill continued"  # held for a ms or more
+        assert wait_for(lambda: ("release", "r0") in world.calls_for("q") or ("release", "w0") in world.calls_for("q"))
+        # Held for 1 ms or more.
+        assert wait_for(lambda: bool(world.held or world.state_records.history)), "the prefill continued"
         assert wait_for(lambda: not world.held and not len(edge_node.abandoned), 2.0)
         with world.lock:
-            assert [(stay.request, stay.kind, stay.engine) for stay in world.books.stays] == [("q", Held.STATE, "r0")]
-            assert max((stay.until - stay.since) / 1e9 for stay in world.books.stays) < 0.5 + 0.3
+            assert [(held.request, held.kind, held.engine) for held in world.state_records.history] == [
+                ("q", HeldKind.STATE, "r0")
+            ]
+            assert max((held.until - held.since) / 1e9 for held in world.state_records.history) < 0.5 + 0.3
 
 
 def test_a_node_requests_no_reservation_whatever_its_settings_allow() -> None:
@@ -260,59 +267,59 @@
             assert round_trip(client, f"q{n}")[0].status == 200
         edge_node.engines.reserve("q9", "w0", 0, answer := list[bool]().append)
         assert answer.__self__ == [False]  # type: ignore[attr-defined]
-        assert not [each for each in world.seen if each.what == "place"]
+        assert not [each for each in world.calls if each.what == "place"]
         assert wait_for(lambda: is_idle(edge_node)) and not world.held
 
 
 def test_a_stream_corrupted_at_its_start_is_retried_and_one_corrupted_later_breaks_off_at_once() -> None:
     with platform(2, 1) as world, node(world):
-        world.engines["w0"].faults.append("noise")
+        world.engines["w0"].scripted_faults.append("noise")
         client = Client(world.listen)
         assert round_trip(client, "q0")[0].status == 200
-        assert [what for what, _ in world.which("q0") if what in ("read", "write")] == ["read", "write"] * 2
-        world.engines["w0"].faults.append("spoilt")
+        assert [what for what, _ in world.calls_for("q0") if what in ("read", "write")] == ["read", "write"] * 2
+        world.engines["w0"].scripted_faults.append("spoilt")
         began = time.monotonic()
         with pytest.raises((ConnectionError, ValueError)):
             round_trip(client, "q1")
         assert time.monotonic() - began < 2.0
         for fault in ("ahead", "behind", ""):
-            world.engines["w0"].faults.append(fault)
+            world.engines["w0"].scripted_faults.append(fault)
             assert round_trip(Client(world.listen), f"q-{fault}")[0].status == 200
 
 
 def test_an_engine_listed_as_draining_is_sent_nothing_more() -> None:
     with platform() as world, node(world) as edge_node:
         client = Client(world.listen)
-        world.change("r0", "DRAINING")
+        world.change_state("r0", "DRAINING")
         assert wait_for(lambda: edge_node.engine_table.rev == world.rev)
-        world.change("w1", "DELETED")
+        world.change_state("w1", "DELETED")
         assert wait_for(lambda: edge_node.engine_table.rev == world.rev)
         for n in range(8):
             assert round_trip(client, f"q{n}")[0].status == 200
-        assert {engine for _, what, engine, _ in world.seen if what in ("read", "write", "place")} == {"r1", "w0"}
+        assert {engine for _, what, engine, _ in world.calls if what in ("read", "write", "place")} == {"r1", "w0"}
 
 
 def test_a_client_that_disconnects_frees_all() -> None:
     with platform() as world, node(world) as edge_node:
-        world.work = 0.2
+        world.work_seconds = 0.2
         client = Client(world.listen)
         client.send_request(b"{}", headers=headers("q"))
-        assert wait_for(lambda: bool(world.which("q")))
+        assert wait_for(lambda: bool(world.calls_for("q")))
         client.close()
         assert wait_for(lambda: is_idle(edge_node)) and wait_for(lambda: not world.held)
 
 
 def test_a_further_attempt_announces_no_more_time_than_is_left() -> None:
     with platform(2, 1) as world, node(world):
-        world.work = 0.25
+        world.work_seconds = 0.25
         for name in ("r0", "r1"):
-            world.engines[name].faults.append("500")
+            world.engines[name].scripted_faults.append("500")
         began = time.monotonic()
         assert round_trip(Client(world.listen), "q")[0].status == 200
-        calls = [what for what, _ in world.which("q") if what in ("read", "write")]
+        calls = [what for what, _ in world.calls_for("q") if what in ("read", "write")]
         assert calls.count("read") > 1 and calls[-1] == "write"
-        decoded_at = next(at for at, what, _, request in world.seen if (what, request) == ("write", "q"))
-        assert int(world.left["q"].removesuffix("m")) <= 3_000 - 1_000 * (decoded_at - began) + 50
+        decoded_at = next(at for at, what, _, request in world.calls if (what, request) == ("write", "q"))
+        assert int(world.times_left["q"].removesuffix("m")) <= 3_000 - 1_000 * (decoded_at - began) + 50
 
 
 @pytest.mark.parametrize("further", [False, True])
@@ -327,7 +334,7 @@
         failed: list[str] = []
         if further:
             for name in ("r0", "r1"):
-                world.engines[name].faults.append("500")
+                world.engines[name].scripted_faults.append("500")
 
         def connect_slowly(host: str, port: int, timeout: float) -> tuple[socket.socket, float | None]:
             is_prefill = ports[port][0] == "r"
@@ -341,7 +348,7 @@
         client = Client(world.listen)
         client.send_request(b"{}", CHAT, headers=headers("q"))
         assert connecting.wait(5.0)
-        before = [what for what, _ in world.which("q")].count("read")
+        before = [what for what, _ in world.calls_for("q")].count("read")
         if leave == "close":
             client.close()
         else:
@@ -349,7 +356,7 @@
         time.sleep(0.02)
         left.set()
         assert wait_for(lambda: is_idle(edge_node))
-        assert [what for what, _ in world.which("q")].count("read") == before == int(further)
+        assert [what for what, _ in world.calls_for("q")].count("read") == before == int(further)
 
 
 def test_hundreds_of_silent_clients_block_no_usual_client() -> None:
@@ -393,7 +400,7 @@
 
 def test_term_under_load_serves_all_accepted_requests_and_exits_with_0(tmp_path: Path) -> None:
     with platform() as world, program(world, tmp_path) as run:
-        world.pause = 0.04
+        world.event_interval = 0.04
         answers: list[int] = []
         lost: list[str] = []
 
@@ -423,9 +430,9 @@
     with platform() as world, node(world) as edge_node:
         idle, accepted = (Client(world.listen) for _ in range(2))
         assert round_trip(idle, "before")[0].status == 200
-        world.pause = 0.3
+        world.event_interval = 0.3
         accepted.send_request(b"{}", headers=headers("taken"))
-        assert wait_for(lambda: bool(world.which("taken")))
+        assert wait_for(lambda: bool(world.calls_for("taken")))
         draining = threading.Thread(target=edge_node.drain)
         draining.start()
         assert idle.sock.recv(1) == b""  # an idle connection is closed
@@ -433,7 +440,7 @@
         fresh = Client(world.listen)  # from here on, a drain waits a second for its first request
         time.sleep(ACCEPTING_S / 2 + 0.1)
         head, _ = round_trip(fresh, "late")
-        assert head.status == 503 and head.headers.get("connection") == "close" and not world.which("late")
+        assert head.status == 503 and head.headers.get("connection") == "close" and not world.calls_for("late")
         head, body = accepted.answer()
         assert head.status == 200 and b"[DONE]" in body
         draining.join(10.0)
@@ -467,13 +474,13 @@
             configuration["discovery"] = f"127.0.0.1:{other.discovery.port}"
             run.path.write_text(json.dumps(configuration))
             run.signal(signal.SIGHUP)
-            assert wait_for(lambda: bool(other.discovery.asked))
-            assert other.discovery.asked[0].endswith(f"watch=1&after={world.rev}")
-            other.change("r0", "DRAINING")
+            assert wait_for(lambda: bool(other.discovery.request_targets))
+            assert other.discovery.request_targets[0].endswith(f"watch=1&after={world.rev}")
+            other.change_state("r0", "DRAINING")
             time.sleep(0.2)
             for n in range(6):
                 assert round_trip(client, f"q{n}")[0].status == 200
-            assert not any(("read", "r0") in world.which(f"q{n}") for n in range(6))
+            assert not any(("read", "r0") in world.calls_for(f"q{n}") for n in range(6))
         finally:
             other.discovery.close()
 
@@ -510,19 +517,19 @@
             name = next(name for name, engine in world.engines.items() if engine.port == port)
             if name[0] == "r" and not drained.is_set():
                 drained.set()
-                world.change(name, "DRAINING")
+                world.change_state(name, "DRAINING")
                 assert wait_for(lambda: edge_node.engine_table.rev == world.rev)
             return real_take(host, port, timeout)
 
         monkeypatch.setattr(edge_node.pool, "acquire", connect_slowly)
         assert round_trip(Client(world.listen), "q")[0].status == 200
         drained_engine = next(name for name, state in world.states.items() if state == "DRAINING")
-        assert drained.is_set() and ("read", drained_engine) not in world.which("q")
+        assert drained.is_set() and ("read", drained_engine) not in world.calls_for("q")
 
 
 def test_hup_under_load_keeps_the_router_and_its_tables(tmp_path: Path) -> None:
     with platform() as world, node(world) as edge_node:
-        world.pause, world.cached = 0.03, 800  # with fewer the router would conclude that the prefix caches are gone
+        world.event_interval, world.cached_tokens = 0.03, 800  # fewer: the router assumes lost prefix caches
         router = edge_node.core.router
         answers: list[int] = []
 
@@ -548,7 +555,7 @@
 
 def test_memory_stays_flat_over_many_short_connections(tmp_path: Path) -> None:
     with platform() as world, program(world, tmp_path) as run:
-        world.work = world.pause = 0.0
+        world.work_seconds = world.event_interval = 0.0
 
         def send_requests(count: int, tag: str) -> int:
             for n in range(count):
@@ -569,17 +576,17 @@
         for n in range(4):  # the router learns how long a prefill takes
             assert round_trip(client, f"warm{n}")[0].status == 200
         for engine in world.engines.values():
-            engine.load = "TEXT inflight=9, queue=9, x0=0.1, x1=900"
-        world.engines["r5"].load = REPORT
+            engine.load_report = "TEXT inflight=9, queue=9, x0=0.1, x1=900"
+        world.engines["r5"].load_report = LOAD_REPORT
         time.sleep(0.6)  # earlier load reports expire
         served = [n for n in range(60) if round_trip(client, f"q{n}")[0].status == 200]
-        assert {e for n in served for what, e in world.which(f"q{n}") if what == "read"} == {"r5"}
+        assert {e for n in served for what, e in world.calls_for(f"q{n}") if what == "read"} == {"r5"}
         assert 3 <= len(served) < 60  # the others would be too late: the request is refused and nothing is sent
 
 
 def test_a_prefill_engine_that_does_not_answer_is_not_waited_for_and_is_ejected() -> None:
     with platform(12, 1) as world, node(world) as edge_node:
-        world.engines["r3"].deaf = True
+        world.engines["r3"].ignores_probes = True
         client = Client(world.listen)
         for n in range(60):
             since = time.monotonic()
@@ -588,10 +595,10 @@
             if edge_node.core.router.servers["r3"].ejections:  # type: ignore[attr-defined]
                 break
         assert edge_node.core.router.servers["r3"].ejections  # type: ignore[attr-defined]
-        before = len(world.seen)
+        before = len(world.calls)
         for n in range(20):
             assert round_trip(client, f"after{n}")[0].status == 200
-        assert not [e for _, what, e, _ in world.seen[before:] if what == "read" and e == "r3"]
+        assert not [e for _, what, e, _ in world.calls[before:] if what == "read" and e == "r3"]
 
 
 def test_a_watch_that_is_not_answered_is_replaced_by_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -9,7 +9,7 @@
 import pytest
 
 from stonetrack.node.obligations import TABLE, Obligation, markdown
-from stonetrack.soak.latitude import CHOICES, Sentence
+from stonetrack.soak.unspecified import CHOICES, Unspecified
 
 PAGE = Path(__file__).resolve().parents[1] / "docs" / "obligations.md"
 
@@ -26,9 +26,9 @@
 def test_the_page_shows_the_table_and_every_drawn_sentence() -> None:
     page = PAGE.read_text("utf-8")
     assert markdown() in page
-    for sentence in Sentence:
-        (line,) = [line for line in page.splitlines() if line.startswith(f"| `{sentence.name}` |")]
-        assert sentence.value in line and f" {len(set(CHOICES[sentence]))} " in line
+    for unspecified in Unspecified:
+        (line,) = [line for line in page.splitlines() if line.startswith(f"| `{unspecified.name}` |")]
+        assert unspecified.value in line and f" {len(set(CHOICES[unspecified]))} " in line
 
 
 def test_every_obligation_has_one_row_with_functions_that_act_and_that_check() -> None:
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -19,8 +19,8 @@
 from stonetrack.fleet.rules import Judge, Kill, Terms
 from stonetrack.fleet.traffic import Traffic
 from stonetrack.scenario.bench import BenchError, convert
-from stonetrack.scenario.run import NOT_JUDGED
-from stonetrack.scenario.script import Day, load_day, plan
+from stonetrack.scenario.run import EXIT_NOT_JUDGED
+from stonetrack.scenario.script import Scenario, load_scenario, plan
 from stonetrack.settings import SettingsError
 
 MS = 1_000_000
@@ -212,10 +212,10 @@
 
 
 def test_a_plan_and_a_schedule_are_the_same_every_time() -> None:
-    day = load_day(DAY)
-    assert plan(day, 3) == plan(day, 3) != plan(day, 4)
-    steps = plan(day, 3)
-    assert schedule(day.clients, 5.0, 3, steps) == schedule(day.clients, 5.0, 3, steps)
+    scenario = load_scenario(DAY)
+    assert plan(scenario, 3) == plan(scenario, 3) != plan(scenario, 4)
+    steps = plan(scenario, 3)
+    assert schedule(scenario.clients, 5.0, 3, steps) == schedule(scenario.clients, 5.0, 3, steps)
     assert {s.what for s in steps} >= {
         "crash", "hang", "slow", "half", "flush", "full", "throttle", "lost", "leave", "pause", "list_late", "kill", "errors",
         "close_idle"}  # fmt: skip
@@ -236,7 +236,7 @@
     path = tmp_path / "day.jsonnet"
     path.write_text(f"(import '{DAY}') + {{ {change} }}")
     with pytest.raises(SettingsError) as refused:
-        load_day(path)
+        load_scenario(path)
     assert said in str(refused.value)
 
 
@@ -258,12 +258,12 @@
 
 def test_a_bench_days_troubles_become_a_scenario() -> None:
     made, left_out = convert(json.dumps(BENCH).encode(), engines=8, instances=2, seconds=20.0)
-    day = msgspec.convert(made, Day)
-    assert [t.what for t in day.troubles] == ["crash", "leave", "burst", "kill", "throttle"]
-    assert day.troubles[0].at_ms == 5_000 and set(day.troubles[0].engines) == {"r0", "w0"}
-    assert day.settings["routing"]["drain_grace_ms"] == 500 and len(day.engines) == 8
+    scenario = msgspec.convert(made, Scenario)
+    assert [t.what for t in scenario.troubles] == ["crash", "leave", "burst", "kill", "throttle"]
+    assert scenario.troubles[0].at_ms == 5_000 and set(scenario.troubles[0].engines) == {"r0", "w0"}
+    assert scenario.settings["routing"]["drain_grace_ms"] == 500 and len(scenario.engines) == 8
     assert left_out == ["origin_slow at 30.0 s"]
-    assert plan(day, 1)
+    assert plan(scenario, 1)
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b'{"length": 1, "troubles": [], "classes": [], "servers": []}'])
@@ -275,7 +275,7 @@
 # The day itself, as a newcomer runs it.
 
 
-def run_day(path: Path, seed: int, folder: Path) -> subprocess.Popen[str]:
+def start_scenario(path: Path, seed: int, folder: Path) -> subprocess.Popen[str]:
     command = [sys.executable, "-m", "stonetrack", "day", "run", str(path), "--seed", str(seed), "--quiet", "--report",
                str(folder)]  # fmt: skip
     return subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
@@ -285,12 +285,12 @@
     """At half the demo's rate, two at a time; a day on which the machine was too busy to judge is played again alone."""
     path = tmp_path / "day.jsonnet"
     path.write_text(f"(import '{DAY}') + {{ clients+: {{ rate: 40 }} }}")
-    runs = {seed: run_day(path, seed, tmp_path / str(seed)) for seed in (1, 2)}
+    runs = {seed: start_scenario(path, seed, tmp_path / str(seed)) for seed in (1, 2)}
     for seed, run in runs.items():
         out, _ = run.communicate(timeout=240)
         for _again in range(2):
-            if run.returncode == NOT_JUDGED:
-                run = run_day(path, seed, tmp_path / str(seed))
+            if run.returncode == EXIT_NOT_JUDGED:
+                run = start_scenario(path, seed, tmp_path / str(seed))
                 out, _ = run.communicate(timeout=240)
         assert run.returncode == 0, out
         assert int(out.split(" requests")[0].rsplit(" ", 1)[1]) >= 900 and "rules kept" in out, out
--- a/tests/test_starts_and_clocks.py
+++ b/tests/test_starts_and_clocks.py
@@ -83,8 +83,8 @@
                 client = Client(world.listen)
                 assert round_trip(client, "q0")[0].status == 200
                 boot = time.time_ns() // MS
-                world.boots["r0"] = boot
-                world.change("r0", "SERVING")
+                world.boot_times_ms["r0"] = boot
+                world.change_state("r0", "SERVING")
                 router: Any = edge_node.core.router
                 assert wait_for(lambda: router.servers["r0"].started)
                 assert 0 <= edge_node.clock() - router.servers["r0"].started < 5 * SECOND  # an hour by its wall clock
@@ -97,7 +97,7 @@
 def test_a_wall_clock_step_ends_no_wait_and_no_deadline(monkeypatch: pytest.MonkeyPatch, step: int) -> None:
     """All readings of Unix time jump while the node runs; requests are served, and their time left is right."""
     with platform() as world, node(world) as edge_node:
-        world.pause = 0.02
+        world.event_interval = 0.02
         client = Client(world.listen)
         assert round_trip(client, "q0")[0].status == 200
         real, real_ns = time.time, time.time_ns
@@ -105,7 +105,7 @@
         monkeypatch.setattr(time, "time_ns", lambda: real_ns() + step)
         for n in range(1, 6):
             assert round_trip(client, f"q{n}")[0].status == 200
-            assert 2_000 < int(world.left[f"q{n}"][:-1]) <= 3_000
+            assert 2_000 < int(world.times_left[f"q{n}"][:-1]) <= 3_000
         assert edge_node.host.connections == 1  # it was not closed as idle
         client.close()
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -142,15 +142,15 @@
     peer = faulty.code != SHORT and classify_error(faulty.call, OSError(faulty.code, "")) is ErrorClass.PEER
     lost_client = peer and faulty.at_client and faulty.call in (SystemCall.SEND, SystemCall.RECEIVE)
     engine_lost = peer and not faulty.at_client and faulty.call in (SystemCall.SEND, SystemCall.RECEIVE)
-    broken_stream = engine_lost and status == 0 and any(what == "write" for _, what, _, _ in emulated.seen)
+    broken_stream = engine_lost and status == 0 and any(what == "write" for _, what, _, _ in emulated.calls)
     assert status in (200, 502, 503) or lost_client or broken_stream, f"{where}: answered {status}"
     if not peer:
         ejected = [s.name for s in edge_node.core.router.servers.values() if s.ejections]  # type: ignore[attr-defined]
         assert not ejected, f"{where}: {ejected} ejected for a fault of this machine"
     # After an engine's connection has ended, what the engine still runs is no attempt on an open connection.
-    assert emulated.most_out <= 1 or engine_lost, f"{where}: attempts overlapped"
-    emulated.most_out = 0
-    emulated.seen.clear()
+    assert emulated.max_concurrent_attempts <= 1 or engine_lost, f"{where}: attempts overlapped"
+    emulated.max_concurrent_attempts = 0
+    emulated.calls.clear()
     assert wait_for(lambda: is_idle(edge_node) and not emulated.held, 5.0), f"{where}: held {emulated.held}"
 
 
--- a/tests/test_two_customers.py
+++ b/tests/test_two_customers.py
@@ -144,7 +144,7 @@
             assert round_trip(client, "q0")[0].status == 200 and set(edge_node.engine_table.engines) == set(
                 world.engines
             )
-            assert not other.discovery.asked
+            assert not other.discovery.request_targets
             client.close()
         finally:
             edge_node.stop()
