--- a/stonetrack/cli/soak.py
+++ b/stonetrack/cli/soak.py
@@ -16,7 +16,7 @@
 
 
 def parse_seeds(text: str) -> range:
-    """The seeds of ``A:B``, B not among them; of ``A`` alone, that one.  Raises click.BadParameter."""
+    """The seeds of ``A:B`` (B excluded) or the single seed ``A``.  Raises click.BadParameter."""
     first, colon, last = text.partition(":")
     if not first.isdigit() or (colon and not last.isdigit()):
         raise click.BadParameter(f"found {text!r}; allowed: A:B or A, whole numbers")
@@ -27,7 +27,7 @@
 
 
 def run_seed(seed: int, size: RunSize, report: Path, trace: bool) -> tuple[int, str, bool]:
-    """Play one seed; its line, and whether it passed.  What passed leaves no logs behind."""
+    """Run one seed; return its number, its report lines and whether it passed.  A passed seed's logs are removed."""
     from stonetrack.soak import report as reporting
     from stonetrack.soak.run import SeedRun, run_with_retries
 
--- a/stonetrack/scenario/__init__.py
+++ b/stonetrack/scenario/__init__.py
@@ -1,6 +1,6 @@
-"""Bad days: scripted trouble against real nodes and stand-ins, judged from what passed on the sockets.
+"""Scenarios: scripted faults against a real node and emulated engines, judged from what passed on the sockets.
 
-:mod:`.script` is the scenario, :mod:`.load` the clients, :mod:`.judge` the five rules and the service, without I/O,
-:mod:`.run` starts it all, :mod:`.page` writes the report.  Inputs: a scenario and a seed.  Outputs: logs, a verdict.
-Must not depend on: the inside of a node; what a node believes is no evidence.
+:mod:`.script` defines a scenario, :mod:`.run` runs it, :mod:`.page` writes the report, :mod:`.bench` converts a bench
+scenario.  Clients and the judge of the five rules come from ``fleet``.  Inputs: a scenario and a seed.  Outputs: logs
+and a verdict.  Must not depend on: the internals of a node; its own state is not evidence.
 """
--- a/stonetrack/scenario/bench.py
+++ b/stonetrack/scenario/bench.py
@@ -1,10 +1,10 @@
-"""A bench day's troubles as a scenario for the real node.
+"""Conversion of a bench scenario into a scenario for the real node.
 
-What is taken over: the kinds of trouble with their times, lengths, sizes and the roles of the servers they hit; the
-classes with aims, deadlines, worth and effect; the roles' shares of the fleet.  What is not: speeds and rates of the
-bench's servers (stand-ins have their own), and troubles that no socket shows.  A fleet is cut down to ``engines`` and
-``instances``, a trouble to the same share of it, and time is squeezed to ``seconds``.  Times in a bench day are
-microseconds.  :func:`convert` says what it left out.
+Converted are the faults with their times, durations, sizes and the roles of the affected servers; the classes with
+latency targets, deadlines, utility and idempotency; the roles' shares of the fleet.  Not converted are the speeds and
+rates of the bench's servers (emulated engines have their own) and faults that are not visible on sockets.  The fleet is
+reduced to ``engines`` and ``instances``, each fault to the same share of it, and the time is scaled to ``seconds``.  Times
+in a bench scenario are microseconds.  :func:`convert` also returns the omitted faults.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class BenchError(ValueError):
-    """Not a bench day; the text names what is missing."""
+    """The file is not a bench scenario; the text names what is missing."""
 
 
 class _BenchFault(msgspec.Struct):
@@ -66,13 +66,13 @@
 
 def convert(data: bytes, *, engines: int = 12, instances: int = 3, seconds: float = 30.0, rate: float = 60.0,
             ) -> tuple[dict[str, Any], list[str]]:  # fmt: skip
-    """A scenario as JSON holds it, and what was left out.  Raises BenchError."""
+    """The scenario as JSON values, and the omitted faults.  Raises BenchError if ``data`` is not a bench scenario."""
     try:
         scenario = msgspec.json.decode(data, type=_BenchScenario, strict=False)
     except msgspec.DecodeError as error:
-        raise BenchError(f"not a bench day: {error}") from None
+        raise BenchError(f"not a bench scenario: {error}") from None
     if not scenario.servers or not scenario.classes:
-        raise BenchError("not a bench day: servers and classes are needed")
+        raise BenchError("not a bench scenario: servers and classes are needed")
     roles = [ROLES.get(name, "mixed") for name in scenario.fam.roles] or ["mixed"]
     up = [s for s in scenario.servers if s.up] or scenario.servers
     fleet = _scaled_fleet(up, roles, engines)
@@ -80,10 +80,10 @@
     omitted: list[str] = []
     faults: list[dict[str, Any]] = []
     for fault in scenario.troubles:
-        made = _convert_fault(fault, scenario, roles, fleet, scale, instances)
-        if not made:
+        converted = _convert_fault(fault, scenario, roles, fleet, scale, instances)
+        if not converted:
             omitted.append(f"{fault.kind} at {fault.at / 1e6:.1f} s")
-        faults += made
+        faults += converted
     classes = [
         {"name": c.name, "share": c.share, "worth": c.worth, "late_worth": min(1.0, c.late_worth),
          "aim_ms": int(c.aim / 1e3), "deadline_ms": int(max(c.deadline, c.aim) / 1e3),
@@ -99,7 +99,7 @@
 
 
 def _scaled_fleet(servers: list[_Server], roles: list[str], most: int) -> list[dict[str, Any]]:
-    """A fleet of the same mix, at least one of each role that the day has."""
+    """A fleet of at most about ``most`` engines with the same mix of roles, at least one of each role."""
     by_role: dict[str, int] = {}
     for server in servers:
         role = roles[server.kind] if server.kind < len(roles) else "mixed"
@@ -118,62 +118,62 @@
 def _engines_hit(
     fault: _BenchFault, servers: list[int], scenario: _BenchScenario, roles: list[str], fleet: list[dict[str, Any]]
 ) -> list[str]:
-    """Engines of our fleet that stand for those hit: the same share of each role, at least one."""
+    """The engines of the scaled fleet that represent the affected servers: the same share of each role, at least one."""
     names = []
     for role in dict.fromkeys(spec["role"] for spec in fleet):
-        mine = [spec["name"] for spec in fleet if spec["role"] == role]
-        all_of = [
+        candidates = [spec["name"] for spec in fleet if spec["role"] == role]
+        same_role = [
             n for n, s in enumerate(scenario.servers) if (roles[s.kind] if s.kind < len(roles) else "mixed") == role
         ]
-        hit = len([n for n in servers if n in all_of])
-        if hit:
-            names += mine[: max(1, min(len(mine), round(len(mine) * hit / len(all_of))))]
+        affected = len([n for n in servers if n in same_role])
+        if affected:
+            names += candidates[: max(1, min(len(candidates), round(len(candidates) * affected / len(same_role))))]
     return names
 
 
 def _convert_fault(fault: _BenchFault, scenario: _BenchScenario, roles: list[str], fleet: list[dict[str, Any]], scale: float,
              instances: int) -> list[dict[str, Any]]:  # fmt: skip
-    at, span = int(fault.at / 1e3 * scale), max(200, int(fault.len / 1e3 * scale))
+    at, duration_ms = int(fault.at / 1e3 * scale), max(200, int(fault.len / 1e3 * scale))
     engines = _engines_hit(fault, fault.on, scenario, roles, fleet)
 
     def step(
-        what: str, hit: list[str] | None = None, when: int = at, cls: str = "", **args: Any
+        what: str, affected: list[str] | None = None, when: int = at, cls: str = "", **args: Any
     ) -> list[dict[str, Any]]:
-        chosen = engines if hit is None else hit
+        chosen = engines if affected is None else affected
         if cls:
             args["class"] = cls
         return [{"at_ms": when, "what": what, "engines": chosen, "args": args}] if chosen else []
 
     def load(what: str, **args: Any) -> list[dict[str, Any]]:
-        return [{"at_ms": at, "what": what, "args": {"for_ms": span, **args}}]
+        return [{"at_ms": at, "what": what, "args": {"for_ms": duration_ms, **args}}]
 
     match fault.kind:
         case "crash" | "vanish":
-            return step("crash", down_ms=span)
+            return step("crash", down_ms=duration_ms)
         case "hang":
-            return step("hang", for_ms=span)
+            return step("hang", for_ms=duration_ms)
         case "pauses":
-            return step("pause", for_ms=min(span, 500))
+            return step("pause", for_ms=min(duration_ms, 500))
         case "slow":
-            return step("slow", for_ms=span, factor=max(1.5, fault.size or 4.0))
+            return step("slow", for_ms=duration_ms, factor=max(1.5, fault.size or 4.0))
         case "flush":
             every = [spec["name"] for spec in fleet if spec["role"] != "writer"]
             return step("flush", engines or every[: max(1, round(len(every) * (fault.size or 0.5)))])
         case "fast_errors":
-            return step("errors", for_ms=span, share=min(1.0, fault.size or 0.5))
+            return step("errors", for_ms=duration_ms, share=min(1.0, fault.size or 0.5))
         case "answer_lost":
-            return step("lost", engines or [spec["name"] for spec in fleet][:3], for_ms=span,
+            return step("lost", engines or [spec["name"] for spec in fleet][:3], for_ms=duration_ms,
                         share=min(1.0, fault.size or 0.3))  # fmt: skip
         case "throttle":
-            return step("throttle", for_ms=span, cls=scenario.classes[0].name)
+            return step("throttle", for_ms=duration_ms, cls=scenario.classes[0].name)
         case "preempt":
-            made: list[dict[str, Any]] = []
+            converted: list[dict[str, Any]] = []
             for each in fault.steps:
-                hit = _engines_hit(fault, list(each.get("stop", ())), scenario, roles, fleet)
-                made += step(
-                    "leave", hit, int(float(each.get("at", fault.at)) / 1e3 * scale), notice_ms=800, down_ms=800
+                affected = _engines_hit(fault, list(each.get("stop", ())), scenario, roles, fleet)
+                converted += step(
+                    "leave", affected, int(float(each.get("at", fault.at)) / 1e3 * scale), notice_ms=800, down_ms=800
                 )
-            return made
+            return converted
         case "burst":
             return load("burst", factor=max(1.2, fault.size or 2.0))
         case "hot_key":
@@ -182,6 +182,6 @@
             return load("list_late", delay_ms=int(max(500.0, fault.size * 1_000 * scale)))
         case "balancer_crash" | "balancer_roll":
             count = 1 if fault.kind == "balancer_crash" else instances
-            return [{"at_ms": at + n * max(1_500, span // max(count, 1)), "what": "kill", "instance": n}
+            return [{"at_ms": at + n * max(1_500, duration_ms // max(count, 1)), "what": "kill", "instance": n}
                     for n in range(min(count, instances))]  # fmt: skip
     return []
--- a/stonetrack/scenario/page.py
+++ b/stonetrack/scenario/page.py
@@ -1,4 +1,4 @@
-"""The report of a day: one HTML page that a person can read, its plots inside as SVG (matplotlib)."""
+"""The report of a scenario run: one HTML page with embedded SVG plots (matplotlib)."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 
 def _request_events(result: ScenarioResult, request: str) -> list[list[Any]]:
-    """All that passed for one request, in order."""
+    """All client and engine events of one request, ordered by time."""
     rows = []
     for s in result.client_records:
         if s.request == request:
@@ -106,7 +106,7 @@
 
 
 def write_page(result: ScenarioResult, folder: Path) -> Path:
-    """Write ``report.html``; where it is."""
+    """Write ``report.html`` and return its path."""
     verdict, scenario = result.verdict, result.scenario
     broken: dict[int, int] = defaultdict(int)
     for breach in verdict.breaches:
@@ -142,7 +142,7 @@
         "<!doctype html><html lang=en><meta charset=utf-8>",
         f"<title>{html.escape(scenario.name)}, seed {result.seed}</title>",
         f"<style>{STYLE}</style><h1>{html.escape(scenario.name)}, seed {result.seed}</h1>",
-        f"<p class=quiet>{scenario.instances} instances, {len(scenario.engines)} stand-in engines, {verdict.counts['requests']} requests in "
+        f"<p class=quiet>{scenario.instances} instances, {len(scenario.engines)} emulated engines, {verdict.counts['requests']} requests in "
         f"{scenario.seconds:g} s, {verdict.counts['attempts']} attempts. Judged from what passed on client and engine sockets.</p>",
         f"<p>{'<span class=good>Every rule was kept.</span>' if verdict.kept else '<span class=bad>Rules were broken.</span>'} "
         f"Service {verdict.service:.3f}. {verdict.excused} requests or states were excused, held by an instance that was killed.</p>",
@@ -154,7 +154,7 @@
             by_class,
             set(range(1, 8)),
         ),
-        "<h2>The day</h2>",
+        "<h2>The run</h2>",
         _plot(result),
     ]
     if verdict.breaches:
--- a/stonetrack/scenario/result.py
+++ b/stonetrack/scenario/result.py
@@ -1,4 +1,4 @@
-"""A day that was played, as the page and the summary read it."""
+"""The result of a scenario run, as read by the report page and the summary."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class ScenarioResult:
-    """A day that was played."""
+    """The records and the verdict of one scenario run."""
 
     scenario: Scenario
     seed: int
--- a/stonetrack/scenario/run.py
+++ b/stonetrack/scenario/run.py
@@ -1,6 +1,6 @@
-"""Runs a day: stand-ins and the node as processes of their own, clients and troubles from here, then the judge.
+"""Runs a scenario: emulated engines and the node as processes, clients and faults from this process, then the judge.
 
-Everything is on loopback, bounded in time, and ended at the end, whatever happened.
+Everything runs on loopback and for a bounded time; all processes are ended in any case.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 from stonetrack.scenario.script import Scenario, load_scenario, plan
 from stonetrack.settings import Node, SettingsError, merged, parse
 
-IDLE_SECONDS = 1.5  # seconds after the last answer in which things must be let go of
-MAX_PROCESSOR_WAIT = 0.5  # of a play's time waited for processors: from here on a broken rule may be the machine's
-EXIT_NOT_JUDGED = 3  # the exit code of such a play
+IDLE_SECONDS = 1.5  # seconds after the last answer in which held state must be released
+MAX_PROCESSOR_WAIT = 0.5  # share of a run; above it the machine may have caused a breach
+EXIT_NOT_JUDGED = 3  # exit code of a run with breaches above that share
 
 
 def node_settings(scenario: Scenario, list_url: str, state_dir: Path) -> dict[str, Any]:
-    """The node's settings for a day, as JSON holds them; the day's own win."""
+    """The node's settings for a scenario as JSON values; the scenario's own settings take precedence."""
     extended = {"release": True, "hold": True}
     memory = {spec.role: spec.memory_tokens for spec in scenario.engines}
     base: dict[str, Any] = {
@@ -61,7 +61,7 @@
 
 
 class FaultInjector(threading.Thread):
-    """Carries out a plan."""
+    """Injects the steps of a plan at their times."""
 
     def __init__(
         self, steps: list[Step], load_started: int, control: tuple[str, int], node: Process, log: Path
@@ -73,7 +73,7 @@
         self.failed: list[str] = []
 
     def run(self) -> None:
-        """Each step at its time."""
+        """Inject each step at its time; steps that fail are recorded in ``failed``."""
         for step in self.steps:
             wait = step.at - (time.monotonic_ns() - self.load_started) / 1e9
             if wait > 0:
@@ -87,7 +87,7 @@
 
     def _inject(self, step: Step) -> str:
         if step.what in ("burst", "new_beginning"):
-            return step.what  # part of the load
+            return step.what  # injected by the load generator
         if step.what == "kill":
             pid = self.instance_pid(step.instance)
             at = time.monotonic_ns()
@@ -103,7 +103,7 @@
         return step.what
 
     def instance_pid(self, instance: int) -> int:
-        """The process of an instance, by the supervisor's log."""
+        """The process id of an instance, from the supervisor's log.  Raises KeyError if the log does not contain it."""
         found = None
         for line in self.log.read_text("utf-8").splitlines():
             with contextlib.suppress(json.JSONDecodeError):
@@ -116,7 +116,7 @@
 
 
 def run_and_judge(scenario: Scenario, seed: int, folder: Path, output: Callable[[str], None]) -> ScenarioResult:
-    """Play a day and judge it; logs go to ``folder``."""
+    """Run a scenario and judge it; logs go to ``folder``."""
     folder.mkdir(parents=True, exist_ok=True)
     seed += scenario.seed_offset
     steps = plan(scenario, seed)
@@ -160,11 +160,12 @@
 
 
 def run_scenario(path: Path, seed: int, folder: Path, progress: bool) -> int:
-    """Play a file's day; 0 where every rule was kept, 1 where not, 2 for a file that can't be used.
+    """Run the scenario of a file; return the exit code.
 
-    3 where rules were broken on a machine on which work waited for processors for half of the play.
+    0: every rule was kept; 1: a rule was broken or a step failed; 2: the file is invalid; 3 (``EXIT_NOT_JUDGED``): a
+    rule was broken while work waited for processors for more than ``MAX_PROCESSOR_WAIT`` of the time.
     """
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # so that what was started is ended
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # so that the started processes are ended
     try:
         scenario = load_scenario(path)
     except SettingsError as error:
@@ -182,7 +183,7 @@
 
 
 def summary(result: ScenarioResult) -> str:
-    """The verdict in a few lines."""
+    """The verdict as text of a few lines."""
     verdict = result.verdict
     counts = ", ".join(
         f"{n} {name}" for name, n in sorted(verdict.counts.items()) if name not in ("requests", "attempts")
@@ -194,7 +195,7 @@
         "nearest to each bound: " + ", ".join(f"{name} {value:.2f}" for name, value in verdict.margins.items()),
         f"work waited for a processor in {result.processor_wait_share:.2f} of the time",
     ]
-    lines += [f"trouble not carried out: {text}" for text in result.failed_steps]
+    lines += [f"fault not injected: {text}" for text in result.failed_steps]
     if verdict.kept:
         lines.append(f"rules kept ({verdict.excused} excused by kills)")
     else:
--- a/stonetrack/scenario/script.py
+++ b/stonetrack/scenario/script.py
@@ -1,8 +1,8 @@
-"""The scenario of a bad day: fleet, node, clients and troubles, as a Jsonnet file gives them.
+"""A scenario: fleet, node, clients and faults, defined by a Jsonnet file.
 
-Times are milliseconds from the start of the load.  A trouble names its engine, or lets the seed pick some of a role;
-``jitter_ms`` moves it by the seed.  Nothing here runs anything: :func:`plan` turns a day and a seed into a list of
-dated steps, the same list every time.
+Times are milliseconds from the start of the load.  A fault names its engines or lets the seed draw some of a role; the
+seed also shifts it by up to ``jitter_ms``.  :func:`plan` derives the timed steps from a scenario and a seed,
+deterministically; this module runs nothing.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class ScheduledFault(Strict, frozen=True, kw_only=True):
-    """One trouble; what else it needs stands in ``args``."""
+    """A scheduled fault; ``args`` holds the parameters of its kind."""
 
     at_ms: int
     what: str
@@ -39,7 +39,7 @@
 
 
 class Scenario(Strict, frozen=True, kw_only=True):
-    """A whole day."""
+    """A complete scenario."""
 
     name: str
     seconds: Annotated[float, Meta(gt=0.0, le=3_600.0)]
@@ -53,7 +53,7 @@
 
 
 def load_scenario(path: Path) -> Scenario:
-    """A day from a file.  Raises SettingsError naming what is wrong and what is allowed."""
+    """Load a scenario from a file.  Raises SettingsError naming invalid and allowed values."""
     scenario = decode(evaluate(path), Scenario, str(path))
     problems = list(_problems(scenario))
     if problems:
@@ -80,15 +80,15 @@
 
 
 def plan(scenario: Scenario, seed: int) -> list[Step]:
-    """The day's troubles in order of time, picks and jitter drawn by the seed."""
-    draw = random.Random(f"{scenario.name}/{seed}")
+    """The steps of a scenario ordered by time, with engines and jitter drawn by the seed."""
+    random_source = random.Random(f"{scenario.name}/{seed}")
     steps = []
     for fault in scenario.troubles:
-        at = (fault.at_ms + draw.uniform(-1.0, 1.0) * fault.jitter_ms) / 1_000.0
-        picked: list[str] = list(fault.engines)
-        if fault.what in FAULTS and fault.what != "list_late" and not picked:
+        at = (fault.at_ms + random_source.uniform(-1.0, 1.0) * fault.jitter_ms) / 1_000.0
+        selected: list[str] = list(fault.engines)
+        if fault.what in FAULTS and fault.what != "list_late" and not selected:
             pool = [s.name for s in scenario.engines if fault.role is None or s.role is fault.role]
-            picked = draw.sample(pool, min(fault.count, len(pool)))
-        for engine in picked or [""]:
+            selected = random_source.sample(pool, min(fault.count, len(pool)))
+        for engine in selected or [""]:
             steps.append(Step(max(at, 0.0), fault.what, engine, fault.instance, dict(fault.args)))
     return sorted(steps, key=lambda step: step.at)
--- a/stonetrack/soak/__init__.py
+++ b/stonetrack/soak/__init__.py
@@ -1,7 +1,8 @@
-"""Randomized fault soaks of the platform's node: real processes, faults that overlap, the invariants as the oracle.
+"""Randomized fault soaks of the platform's node: real processes, overlapping faults, the invariants as the oracle.
 
-A seed gives the size of a fleet, its traffic and its faults (:mod:`.faults`).  Nodes run as processes (:mod:`.nodes`);
-clients, links and engines are of this package and of ``fleet`` (:mod:`.clients`, :mod:`.platform`).  What passed on the
-sockets is judged (:mod:`.engine_side`, :mod:`.oracle`); nothing is asked of a node.  Inputs: seeds.  Outputs: one
-verdict a seed, and for those that failed a timeline by request id.  Must not depend on: anything beyond loopback.
+A seed determines the engines' behaviour, the traffic and the faults (:mod:`.faults`) of one run (:mod:`.run`).
+Nodes run as processes (:mod:`.nodes`) against emulated engines and discovery agents (:mod:`.platform`); clients and
+links come from ``fleet``.  The verdict is based on what passed on the sockets (:mod:`.engine_side`, :mod:`.oracle`);
+apart from their logged invariants, the nodes are not queried.  Inputs: seeds.  Outputs: one verdict per seed, and for a
+failed seed a timeline per request id.  Must not depend on: anything beyond loopback.
 """
--- a/stonetrack/soak/engine_side.py
+++ b/stonetrack/soak/engine_side.py
@@ -1,8 +1,8 @@
-"""What engines know of requests: attempts that arrived, what is held for whom, and since when.  No I/O.
+"""Engine-side records: attempts that arrived, which state or reservation is held for which request, and since when.
 
-This is the oracle's ground.  A state or reservation leaks where it is held, no attempt that has arrived is out, and
-more time has passed than allowed since the last such attempt ended or the reservation was made.  Times are nanoseconds
-of the machine's monotonic clock; the caller gives them and holds a lock.
+No I/O.  The oracle judges from these records.  A state or reservation leaks if it is held while no arrived attempt of
+its request is open, for longer than allowed since the last such attempt ended or the reservation was made.  Times are
+nanoseconds of the machine's monotonic clock; the caller passes them and holds a lock.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 
 class HeldKind(Enum):
-    """What may be held for a request."""
+    """What an engine can hold for a request."""
 
     STATE = "state"
     RESERVATION = "reservation"
 
 
 class End(Enum):
-    """How an attempt ended as its engine sees it."""
+    """How an attempt ended, as seen by its engine."""
 
-    ANSWERED = "answered"  # whole, to its last byte
-    REJECTED = "turned away"  # never ran
-    FAILED = "failed"  # an error, a reset, a spoilt stream: its effect may have happened
+    ANSWERED = "answered"  # complete, to the last byte
+    REJECTED = "turned away"  # not processed
+    FAILED = "failed"  # error, reset or corrupt stream: it may have had its effect
     CANCELLED = "given up"  # the node closed the connection
     ENGINE_STOPPED = "engine gone"
 
@@ -36,41 +36,41 @@
     engine: str
     is_decode: bool
     arrived_at: int
-    port: int  # the connection's other end, by which the link that carried it is found
+    port: int  # remote port, identifies the link that carried the attempt
     sent_time_left: int  # nanoseconds
     ended: int = 0
     end: End | None = None
     first_event: int = 0
-    consumed_state: bool = False  # the state that it waits for is not held by anyone any more
+    consumed_state: bool = False  # the state that a decode attempt needs is no longer recorded as held
 
 
 @dataclass(frozen=True, slots=True)
 class HeldState:
-    """One state or reservation, from when its clock began to run to when it was taken or released."""
+    """A period in which a state or reservation was held while no attempt of its request was open."""
 
     request: str
     kind: HeldKind
     engine: str
     since: int
-    until: int  # 0: still held at the end
+    until: int  # 0: not released by the end of the run
 
 
 @dataclass(slots=True)
 class _Held:
     kind: HeldKind
     engine: str
-    since: int  # when its clock began to run; 0 while an attempt that has arrived is out
+    since: int  # start of the current period; 0 while an arrived attempt of the request is open
 
 
 @dataclass(slots=True)
 class _Request:
     held: list[_Held] = field(default_factory=list)
     open_attempts: list[Arrival] = field(default_factory=list)
-    running_prefills: set[Arrival] = field(default_factory=set)  # will leave a state
+    running_prefills: set[Arrival] = field(default_factory=set)  # cancelled ones included: leave a state
 
 
 class EngineStateRecords:
-    """The books of all engines together."""
+    """The records of all engines."""
 
     def __init__(self) -> None:
         self.arrivals: list[Arrival] = []
@@ -78,7 +78,7 @@
         self._requests: dict[str, _Request] = {}
 
     def attempt_arrived(self, arrival: Arrival) -> bool:
-        """An attempt has arrived; whether the state that a decode attempt needs is there."""
+        """Record the arrival of an attempt; return whether the state that a decode attempt needs is held."""
         self.arrivals.append(arrival)
         request = self._requests.setdefault(arrival.request, _Request())
         request.open_attempts.append(arrival)
@@ -88,15 +88,17 @@
             return True
         states = [held for held in request.held if held.kind is HeldKind.STATE]
         arrival.consumed_state = bool(states)
-        for held in list(request.held):  # the reservation elsewhere is given up by the send
+        for held in list(request.held):  # sending a decode attempt also cancels a reservation elsewhere
             request.held.remove(held)
         return arrival.consumed_state
 
     def attempt_ended(
         self, arrival: Arrival, at: int, end: End, state_retained: bool = False, prefill_continues: bool = False
     ) -> None:
-        """An attempt has ended; ``state_kept`` where it had not fetched the state yet, which waits again; ``reads_on``
-        where its prompt is read to the end all the same."""
+        """Record the end of an attempt.
+
+        ``state_retained``: it had not fetched its state, which remains held.  ``prefill_continues``: the engine
+        completes the prefill regardless."""
         if arrival.ended:
             return
         arrival.ended, arrival.end = at, end
@@ -109,7 +111,7 @@
         self._start_clocks(request, at)
 
     def prefill_completed(self, arrival: Arrival, at: int) -> bool:
-        """A prefill attempt has read its prompt: its state waits.  False where a release had taken it meanwhile.
+        """Record that a prefill is complete and its state held; False if a release has already removed that state.
 
         Owed: ``Obligation.ABANDONED_READ``."""
         request = self._requests[arrival.request]
@@ -120,14 +122,14 @@
         return True
 
     def reserve(self, request: str, engine: str, at: int) -> None:
-        """A reservation is made; an earlier one elsewhere is given up.  Owed: ``Obligation.RESERVATION``."""
+        """Record a reservation, which replaces an earlier one elsewhere.  Owed: ``Obligation.RESERVATION``."""
         entry = self._requests.setdefault(request, _Request())
         for held in [held for held in entry.held if held.kind is HeldKind.RESERVATION]:
             entry.held.remove(held)
         entry.held.append(_Held(HeldKind.RESERVATION, engine, 0 if entry.open_attempts else at))
 
     def release(self, request: str, at: int, includes_running_prefills: bool = True) -> None:
-        """All that no attempt waits for is released, with ``takes_reads`` also what prefill attempts will leave.
+        """Release everything held for a request; ``includes_running_prefills`` also the states of unfinished prefills.
 
         Owed: ``Obligation.RELEASE``."""
         entry = self._requests.get(request)
@@ -139,7 +141,7 @@
         entry.held.clear()
 
     def engine_stopped(self, engine: str, at: int) -> None:
-        """An engine's process has ended, with all that it held."""
+        """Record that an engine's process has ended and holds nothing any more."""
         for name, request in self._requests.items():
             for arrival in [each for each in request.open_attempts if each.engine == engine]:
                 self.attempt_ended(arrival, at, End.ENGINE_STOPPED)
@@ -149,7 +151,7 @@
                 request.held.remove(held)
 
     def still_held(self) -> list[HeldState]:
-        """What is held with its clock running.  Owed: ``Obligation.STATE``."""
+        """States and reservations held now while no attempt of their request is open.  Owed: ``Obligation.STATE``."""
         return [
             HeldState(name, held.kind, held.engine, held.since, 0)
             for name, request in self._requests.items()
--- a/stonetrack/soak/faults.py
+++ b/stonetrack/soak/faults.py
@@ -1,7 +1,7 @@
-"""The faults of a soak, drawn from a seed so that several overlap.  No I/O, no clock.
+"""The overlapping faults of a soak run, drawn from a seed.  No I/O, no clock.
 
-Kinds are those that processes and sockets on loopback can show without rights; the machine's own (stepped clocks, each
-error of each system call, folders) are injected by the tests of the node instead.
+The kinds are those that unprivileged processes and sockets on loopback can produce.  Faults of the machine (stepped
+clocks, system call errors, unusable folders) are injected by the node's tests instead.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class FaultKind(Enum):
-    """One kind of fault; the text stands in timelines."""
+    """A kind of fault; its name appears in timelines."""
 
     ENGINE_SILENT = "nothing passes to or from an engine; the kernel takes the bytes"
     ROLE_SILENT = "nearly all engines of one role fall silent at once"
@@ -45,16 +45,16 @@
     FaultKind.DISCOVERY_SILENT: 1, FaultKind.WATCH_SILENT: 1, FaultKind.TERM: 2, FaultKind.KILL_NODE: 1,
     FaultKind.HUP: 1, FaultKind.STOP_NODE: 1, FaultKind.CROWD: 2, FaultKind.KEPT_SILENT_FOR_GOOD: 1,
 }  # fmt: skip
-MIN_SECONDS, MAX_SECONDS = 0.4, 5.0  # seconds that a fault lasts
-SILENT_ROLE_SHARE = 0.75  # of a role's engines that fall silent together
-FAULTS_PER_SECOND = 0.7  # faults begun a second
+MIN_SECONDS, MAX_SECONDS = 0.4, 5.0  # duration of a fault
+SILENT_ROLE_SHARE = 0.75  # share of a role's engines that ROLE_SILENT affects
+FAULTS_PER_SECOND = 0.7  # mean number of faults started per second
 MIN_IDLE_CONNECTIONS, MAX_IDLE_CONNECTIONS = 100, 500  # below and above a node's connection limit
-SECONDS_BEFORE, SECONDS_AFTER = 1.5, 1.0  # seconds of the load without faults
+SECONDS_BEFORE, SECONDS_AFTER = 1.5, 1.0  # seconds without faults at the start and end of the load
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault; times in seconds from the start of the load."""
+    """One fault; ``at`` and ``seconds`` are seconds, ``at`` counts from the start of the load."""
 
     at: float
     seconds: float
@@ -62,10 +62,10 @@
     engines: tuple[str, ...] = ()
     node: int = -1  # -1: all nodes
     engine_fault: EngineFault | None = None
-    amount: int = 0  # bytes, for a break; connections, of a crowd
+    amount: int = 0  # BREAKS_IN_ANSWER: bytes; CROWD: connections
 
     def describe(self) -> str:
-        """One line."""
+        """The fault in one line."""
         parts = [self.kind.name.lower(), *self.engines]
         if self.node >= 0:
             parts.append(f"n{self.node}")
@@ -75,7 +75,7 @@
 
 
 def draw_faults(seed: int, seconds: float, nodes: int, prefill: list[str], decode: list[str]) -> list[Fault]:
-    """The faults of one play in order of time."""
+    """The faults of one run, ordered by time."""
     random_source = random.Random(f"faults/{seed}")
     count = max(2, round((seconds - SECONDS_BEFORE - SECONDS_AFTER) * FAULTS_PER_SECOND))
     kinds = random_source.choices(list(WEIGHTS), list(WEIGHTS.values()), k=count)
--- a/stonetrack/soak/nodes.py
+++ b/stonetrack/soak/nodes.py
@@ -1,4 +1,4 @@
-"""The nodes of a soak: real processes of ``stonetrack edge``, with their configurations, logs and ends."""
+"""The nodes of a soak run: ``stonetrack edge`` processes with their configuration files, logs and exits."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 READY_TIMEOUT = 30.0  # seconds
 SECOND_TERM_DELAY = 0.3  # seconds after the first SIGTERM
-TRUNCATED_CONFIGURATION = b'{"listen": "127.0.0.1'  # cut off: has to be refused whole
+TRUNCATED_CONFIGURATION = b'{"listen": "127.0.0.1'  # invalid JSON: the node must reject the whole file
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceUsage:
-    """What a process holds and has used."""
+    """Resources that a process holds and has consumed."""
 
     descriptors: int
     threads: int
@@ -31,7 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessRun:
-    """One run of a node's process; monotonic nanoseconds, 0 for not yet.  ``killed`` where it did not end itself."""
+    """One run of a node's process.
+
+    Times are monotonic nanoseconds, 0 if not reached.  ``killed``: it did not exit by itself."""
 
     started: int
     termination_requested: int = 0
@@ -40,7 +42,7 @@
 
 
 class Node:
-    """One node under one name, through all its runs."""
+    """A node with a fixed name and port, across restarts of its process."""
 
     def __init__(
         self, number: int, port: int, configuration: bytes, folder: Path, trace: bool, program: Path | None = None
@@ -55,38 +57,38 @@
         self.process_runs: list[ProcessRun] = []
         self.crashes: list[str] = []
         self._lock = threading.Lock()
-        self.control_lock = threading.Lock()  # held by whoever ends, starts or signals it
+        self.control_lock = threading.Lock()  # held while the process is stopped, started or signalled
 
     @property
     def name(self) -> str:
-        """Its name, the same after a restart."""
+        """The node's name, unchanged by restarts."""
         return f"n{self.number}"
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where its clients connect."""
+        """The address that clients connect to."""
         return "127.0.0.1", self.port
 
     @property
     def log_path(self) -> Path:
-        """What it logs."""
+        """The node's log file."""
         return self.process.folder / "err.txt"
 
     def start(self) -> None:
-        """Start its process."""
+        """Start the node's process."""
         with self._lock:
             self.process.start()
             self.process_runs.append(ProcessRun(time.monotonic_ns()))
 
     def is_up(self) -> bool:
-        """Whether it answers ``GET /up`` with 200."""
+        """Whether the node answers ``GET /up`` with 200."""
         with contextlib.suppress(OSError), socket.create_connection(self.address, timeout=1.0) as sock:
             sock.sendall(b"GET /up HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n")
             return sock.recv(64).startswith(b"HTTP/1.1 200")
         return False
 
     def wait_until_up(self) -> None:
-        """Wait until it serves.  Raises RuntimeError with its log where it does not come."""
+        """Wait until the node serves.  Raises RuntimeError with the end of its log if it does not start."""
         until = time.monotonic() + READY_TIMEOUT
         while not self.is_up():
             if not self.process.alive or time.monotonic() > until:
@@ -94,7 +96,7 @@
             time.sleep(0.02)
 
     def check_exit(self) -> None:
-        """Note a process that ended without having been told to."""
+        """Record a crash if the process has exited without a termination request."""
         with self._lock:
             running = self.process.running
             if running is None or not self.process_runs or self.process_runs[-1].ended or running.poll() is None:
@@ -108,7 +110,7 @@
         self.process_runs[-1] = ProcessRun(last.started, last.termination_requested, time.monotonic_ns(), killed)
 
     def terminate(self, seconds: float) -> bool:
-        """SIGTERM, again a little later, and SIGKILL after so many seconds; whether it ended by itself."""
+        """Send SIGTERM twice, and SIGKILL after ``seconds``; return whether the process exited by itself."""
         until = time.monotonic() + seconds
         with self._lock:
             last = self.process_runs[-1]
@@ -123,27 +125,27 @@
         return clean
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL."""
         with self._lock:
             self.process.kill()
             if self.process_runs and not self.process_runs[-1].ended:
                 self._note_end(True)
 
     def reload(self) -> None:
-        """SIGHUP three times, the second time with a file that is cut off."""
+        """Send SIGHUP three times, the second time with a truncated configuration file."""
         for data in (self._configuration, TRUNCATED_CONFIGURATION, self._configuration):
             self._path.write_bytes(data)
             self.process.signal(signal.SIGHUP)
             time.sleep(0.05)
 
     def suspend(self, seconds: float) -> None:
-        """SIGSTOP for so long."""
+        """Stop the process by SIGSTOP for so many seconds."""
         self.process.signal(signal.SIGSTOP)
         time.sleep(seconds)
         self.process.signal(signal.SIGCONT)
 
     def resource_usage(self) -> ResourceUsage:
-        """What its process holds now.  Raises OSError where it has ended."""
+        """The current resource usage of the process.  Raises OSError if it has exited."""
         running = self.process.running
         proc = Path("/proc") / str(running.pid if running is not None else 0)
         fields = (proc / "stat").read_text("ascii", "replace").rsplit(")", 1)[1].split()
--- a/stonetrack/soak/oracle.py
+++ b/stonetrack/soak/oracle.py
@@ -1,8 +1,9 @@
-"""Which invariants a play broke, read from what passed on the sockets.  No I/O, no clock.
+"""The invariants that a run violated, determined from what passed on the sockets.  No I/O, no clock.
 
-Numbers are those of the standing terms.  Times are nanoseconds of the machine's monotonic clock.  What the harness
-itself was late by (:class:`Lateness`) is added to each bound, and nothing else.  Nothing that a node says of itself
-counts here but its run-time invariants, a second opinion that is told as such.
+Times are nanoseconds of the machine's monotonic clock.  Only the lateness of the harness and the machine
+(:class:`Lateness`) is added to the bounds.  Invariants 1 to 7 are those of ``node.invariants``; 8 concerns streams and
+9 processes.  A node's own statements are not evidence, except for its run-time invariants, which are reported
+separately under number 0.
 """
 
 from __future__ import annotations
@@ -25,23 +26,23 @@
 HELD_SLACK = 300 * MS
 CLIENT_LEFT_SLACK = 100 * MS
 SENT_TIME_SLACK = 150 * MS
-DRAIN_GRACE = 300 * MS  # the settings' 250 ms and the protocol's 50
-WATCH_SILENCE_TIMEOUT = 6 * SECOND  # a silent watch counts as told after this
+DRAIN_GRACE = 300 * MS  # 250 ms of the settings and 50 ms of the protocol
+WATCH_SILENCE_TIMEOUT = 6 * SECOND  # a change counts as propagated to a silent watch after this
 EVENT_SLACK = 300 * MS
-MAX_LATE_STREAM_SHARE = 0.1  # of all streams that may have a late event
-OVERLAP_SLACK = 2 * MS  # two clocks are read one after the other
+MAX_LATE_STREAM_SHARE = 0.1  # tolerated share of streams with a late event
+OVERLAP_SLACK = 2 * MS  # engine and link take their timestamps one after the other
 RESERVATION_PATH = "/kv/leases/"
 LATE_RESERVATION = 400 * MS  # after the attempt began: the node no longer waits for this reservation
-REAP_SLACK = 300 * MS  # from a process's death to the harness's note of it
-TERMINATION_WINDOW = 700 * MS  # after SIGTERM: what comes later and is taken is lost where SIGKILL finds it unanswered
+REAP_SLACK = 300 * MS  # between a process's death and the time that the harness records
+TERMINATION_WINDOW = 700 * MS  # after SIGTERM; SIGKILL may lose requests that arrive later
 HELD_MESSAGE = re.compile(r"INVARIANT 3 NOTHING_LEAKED: held for ([0-9.]+) s")
-STOPPED_CLIENT_TIMEOUT = 3 * SECOND  # for a client that stops within a request
-MIN_SERVED_SHARE = 0.5  # share of the requests of usual clients: half of what an undisturbed play serves
+STOPPED_CLIENT_TIMEOUT = 3 * SECOND  # for a client that stops sending within a request
+MIN_SERVED_SHARE = 0.5  # of the requests of usual clients: half of what a run without faults serves
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken invariant; ``request`` is empty where it is a process's."""
+    """One violation; ``request`` is empty for a violation by a process."""
 
     invariant: int
     request: str
@@ -49,8 +50,11 @@
 
 
 class Lateness:
-    """How late harness and machine were: samples (when, by how much) of the harness's own waking up, in order of time,
-    and the time in which work stood ready and had no processor (``fleet.pulse``)."""
+    """How late harness and machine were.
+
+    ``samples`` are (time, lateness) of the harness's own wake-ups, ordered by time; ``waits`` is the time in which
+    runnable work waited for a processor (``fleet.pulse``).
+    """
 
     def __init__(self, samples: Sequence[tuple[int, int]], waits: Waits | MachineWaits | None = None) -> None:
         self._when = [when for when, _ in samples]
@@ -58,11 +62,11 @@
         self.waits: Waits | MachineWaits = waits or Waits()
 
     def maximum(self, since: int, until: int) -> int:
-        """The longest lateness that may have touched what lies between two times."""
+        """The maximum lateness of harness and machine between two times."""
         return self.harness_maximum(since, until) + self.waits.held(since, until)
 
     def harness_maximum(self, since: int, until: int) -> int:
-        """The harness's part of it."""
+        """The maximum lateness of the harness alone between two times."""
         low = max(0, bisect_left(self._when, since) - 1)
         high = bisect_right(self._when, until) + 1
         return max(self._lateness[low:high], default=0)
@@ -70,44 +74,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the settings allow; nanoseconds."""
+    """The bounds that the settings allow; times in nanoseconds."""
 
     release_within: int
-    unsafe_classes: frozenset[str]  # names of classes that may not be repeated
-    min_served_share: float = 0.0  # share of the requests of usual clients
+    unsafe_classes: frozenset[str]  # names of the non-idempotent request classes
+    min_served_share: float = 0.0  # of the requests of usual clients
 
 
 @dataclass(slots=True)
 class Evidence:
-    """All that a play leaves behind."""
+    """Everything recorded during a run."""
 
     client_records: list[Seen]
     arrivals: list[Arrival]
-    held_states: list[HeldState]  # the last ones may still be held
-    link_log: list[dict[str, Any]]  # of the links: open, begun, left, close, reset
-    list_changes: list[tuple[int, int, str, str]]  # when, version, engine, state
-    list_deliveries: dict[int, list[tuple[int, int]]]  # by node: when a version was written to it, and which
-    watch_faults: dict[int, list[tuple[int, int]]]  # by node: when its watch or agent was silent
+    held_states: list[HeldState]  # those held at the end included
+    link_log: list[dict[str, Any]]  # link records: open, begun, left, close, reset
+    list_changes: list[tuple[int, int, str, str]]  # time, version, engine, state
+    list_deliveries: dict[int, list[tuple[int, int]]]  # by node: time and version of each list written to it
+    watch_faults: dict[int, list[tuple[int, int]]]  # by node: periods in which its watch or agent was silent
     process_runs: dict[int, list[ProcessRun]]  # by node
     lateness: Lateness
     ended: int
     faulty_periods: dict[str, list[tuple[int, int]]] = field(default_factory=dict)  # by engine, links included
-    invariant_log_lines: list[str] = field(default_factory=list)  # run-time invariants in nodes' logs
-    process_findings: list[str] = field(default_factory=list)  # crashes, what is left at rest
+    invariant_log_lines: list[str] = field(default_factory=list)  # run-time invariants in the nodes' logs
+    process_findings: list[str] = field(default_factory=list)  # crashes, and resources in use after the load
 
 
 class Oracle:
-    """Judges one play."""
+    """Determines the violations of one run."""
 
     def __init__(self, evidence: Evidence, limits: Limits) -> None:
         self._evidence, self._limits = evidence, limits
-        self._attempts_begun: dict[str, list[tuple[int, str, str, int]]] = defaultdict(
-            list
-        )  # (time, node, engine, link)
-        self._node_closed_at: dict[int, int] = {}  # by connection: when the node left it
+        self._attempts_begun: dict[str, list[tuple[int, str, str, int]]] = defaultdict(list)  # by request
+        self._node_closed_at: dict[int, int] = {}  # by connection: when the node closed it
         self._reservation_calls: dict[tuple[str, str], list[tuple[int, int]]] = defaultdict(list)  # by request, engine
-        self._answers_passed: dict[int, list[int]] = defaultdict(list)  # by connection: when answers had passed whole
-        self._connection_ids: dict[tuple[str, int], int] = {}  # by engine and far port
+        self._answers_passed: dict[int, list[int]] = defaultdict(
+            list
+        )  # by connection: when complete answers had passed
+        self._connection_ids: dict[tuple[str, int], int] = {}  # by engine and remote port
         for record in evidence.link_log:
             self._index_link_record(record)
         self._arrivals: dict[str, list[Arrival]] = defaultdict(list)
@@ -131,7 +135,7 @@
                 self._node_closed_at.setdefault(record["conn"], record["t"])
 
     def violations(self) -> list[Violation]:
-        """All that was broken."""
+        """All violations."""
         found = [
             *self._answer_violations(),
             *self._effect_violations(),
@@ -156,13 +160,13 @@
 
     @staticmethod
     def _client_lateness(client: Seen) -> int:
-        """How long the client itself was held up between reading its clock and writing."""
+        """The client's own delay between reading its clock and writing the request."""
         return max(0, client.wrote - client.sent)
 
-    # 1: one final answer, in time.
+    # Invariant 1: one final answer, in time.
 
     def _node_was_killed(self, client: Seen) -> bool:
-        """Whether the process that may have had the request was killed while it was open, or was not there."""
+        """Whether the process that may have received the request was killed while the request was open, or was down."""
         name = self._node_of.get(client.request, "")
         known = [int(name[1:])] if name else list(self._evidence.process_runs)
         for run in (run for number in known for run in self._evidence.process_runs[number]):
@@ -179,7 +183,7 @@
         return False
 
     def _answer_violations(self) -> list[Violation]:
-        """Requests without one final answer in their time.  Owed: ``Obligation.ANSWER``."""
+        """Requests without exactly one final answer in time.  Owed: ``Obligation.ANSWER``."""
         found = []
         for client in self._evidence.client_records:
             if why := self._answer_problem(client):
@@ -195,7 +199,7 @@
             return f"stopped within its request and heard nothing for {took / SECOND:.3f} s" if late else ""
         begun = client.request in self._attempts_begun
         if client.ended == "cut" and not client.head and not (begun or not client.reused):
-            return ""  # it crossed the close of a connection at rest, and nobody had read it
+            return ""  # the node closed the idle connection while the request was in transit
         if client.ended in ("cut", "no answer", "garbled") and not client.first:
             return f"ended {client.ended} without an answer ({client.why[:60]}), sent on: {begun}"
         if client.after_end:
@@ -206,7 +210,7 @@
             return f"answered ({client.ended}) {(answered - client.deadline) / SECOND:.3f} s after its time"
         return ""
 
-    # 2: no second effect.
+    # Invariant 2: no second effect.
 
     def _attempt_over_at(self, arrival: Arrival) -> int:
         """When an attempt was over for its node or its engine, whichever came first."""
@@ -215,7 +219,7 @@
         return min(ended, self._node_closed_at.get(connection, ended))
 
     def _effect_violations(self) -> list[Violation]:
-        """Attempts that overlap, and second effects.  Owed: ``Obligation.ATTEMPT``."""
+        """Overlapping attempts and repeated effects.  Owed: ``Obligation.ATTEMPT``."""
         found = []
         unsafe = {
             client.request for client in self._evidence.client_records if client.cls in self._limits.unsafe_classes
@@ -237,10 +241,10 @@
                 found.append(Violation(2, request, f"run at {[each.engine for each in ran]}"))
         return found
 
-    # 3: what is held is taken or released.
+    # Invariant 3: a held state or reservation is used or released.
 
     def _held_state_violations(self) -> list[Violation]:
-        """What was held for too long, whoever held it and whatever the node was told.
+        """States and reservations held for too long, whichever engine held them and whatever it replied to the node.
 
         Owed: ``Obligation.STATE``, ``Obligation.RESERVATION``, ``Obligation.ABANDONED_READ``."""
         found = []
@@ -254,8 +258,11 @@
         return found
 
     def _observable_since(self, held: HeldState) -> int:
-        """From when on the attempt that started a clock is over for its node: it is out until its answer has passed the
-        link or the node has left it.  An answer that a cut link keeps ends nothing yet."""
+        """When the node could observe the end of the attempt after which the state was held.
+
+        For the node an attempt is open until its answer has passed the link or the node has closed the connection; an
+        answer delayed by a cut link does not end it.
+        """
         if held.kind is HeldKind.RESERVATION and (late := self._late_reservation(held)):
             return late
         for arrival in self._arrivals.get(held.request, ()):
@@ -270,8 +277,10 @@
         return held.since
 
     def _late_reservation(self, held: HeldState) -> int:
-        """When the node could know of a reservation that was passed on long after it was asked for: its answer has
-        passed, or the node has left its connection.  0 for one that came in time."""
+        """When the node could observe a reservation whose call the link delivered late; 0 if it was delivered in time.
+
+        This is when its answer has passed the link or the node has closed the connection.
+        """
         asked = [each for each in self._reservation_calls.get((held.request, held.engine), ()) if each[0] <= held.since]
         begun = [at for at, *_ in self._attempts_begun.get(held.request, ())]
         if not asked:
@@ -284,17 +293,17 @@
         return max(held.since, min(known, held.until or self._evidence.ended))
 
     def _orphaned(self, held: HeldState) -> bool:
-        """Whether the node that had the request was killed: nobody is left to release it."""
+        """Whether the node that handled the request was killed, so that no process is left to release the state."""
         name = self._node_of.get(held.request, "")
         process_runs = self._evidence.process_runs.get(int(name[1:]), []) if name else []
         first = self._attempts_begun[held.request][0][0] if name else 0
         until = held.until or self._evidence.ended
         return any(run.killed and run.started < first < run.ended <= until for run in process_runs)
 
-    # 4: nothing begins for a client that has gone.
+    # Invariant 4: no attempt begins for a client that has left.
 
     def _client_left_at(self, client: Seen) -> int:
-        """When a client left, or closed its sending side, which a node may take for that; 0 for never."""
+        """When a client left or closed its sending side, which a node may treat as leaving; 0 for never."""
         if client.behaviour == "half_close":
             return client.sent
         return client.end if client.ended == "left" else 0
@@ -311,10 +320,10 @@
                     found.append(Violation(4, client.request, text))
         return found
 
-    # 5: nothing goes to an engine that drains.
+    # Invariant 5: no attempt begins at a draining engine.
 
     def _notified_at(self, node: int, changed: int, version: int) -> int:
-        """When a change counts as told to a node."""
+        """When a change counts as propagated to a node."""
         written = min(
             (at for at, rev in self._evidence.list_deliveries[node] if rev >= version), default=self._evidence.ended
         )
@@ -322,9 +331,9 @@
         return max([written, *(since + WATCH_SILENCE_TIMEOUT for since, _ in silent if since <= written)])
 
     def _drain_violations(self) -> list[Violation]:
-        """Attempts at engines that a node had been told not to use.  Owed: ``Obligation.TOLD_CHANGE``."""
+        """Attempts at engines that the node's list no longer offered.  Owed: ``Obligation.TOLD_CHANGE``."""
         found = []
-        spans: dict[str, list[tuple[int, int, int]]] = defaultdict(list)  # closed from, version, open again at
+        spans: dict[str, list[tuple[int, int, int]]] = defaultdict(list)  # drained at, version, serving again at
         for n, (at, version, engine, state) in enumerate(self._evidence.list_changes):
             if state != "SERVING":
                 again = next((t for t, _, e, s in self._evidence.list_changes[n + 1 :] if e == engine), 1 << 62)
@@ -338,7 +347,7 @@
                         found.append(Violation(5, request, text))
         return found
 
-    # 7: the time told to engines.
+    # Invariant 7: the time left that is sent to engines.
 
     def _sent_time_violations(self) -> list[Violation]:
         found = []
@@ -359,7 +368,7 @@
                     found.append(Violation(7, request, text))
         return found
 
-    # 8: streams.
+    # Invariant 8: streams.
 
     def _was_faulty(self, engine: str, since: int, until: int) -> bool:
         return any(begin < until and since < end for begin, end in self._evidence.faulty_periods.get(engine, ()))
@@ -383,7 +392,7 @@
                 )
         return found + (late if len(late) > MAX_LATE_STREAM_SHARE * checked else [])
 
-    # 9, 10: processes; and the nodes' own checks.
+    # Invariant 9: processes; and number 0, the nodes' own checks.
 
     def _process_violations(self) -> list[Violation]:
         found = [Violation(9, "", text) for text in self._evidence.process_findings]
@@ -396,8 +405,10 @@
         return found
 
     def _explained_by_lateness(self, request: str, line: str) -> bool:
-        """Whether a node says that something was held for longer than allowed by no more than harness and machine were
-        late in that request's life: engines that answer late let a node hear late."""
+        """Whether lateness of harness and machine accounts for a node's report that a state was held for too long.
+
+        Engines that answer late delay what the node observes.
+        """
         notified = HELD_MESSAGE.search(line)
         client = next((each for each in self._evidence.client_records if each.request == request), None)
         if notified is None or client is None:
@@ -408,6 +419,6 @@
 
 
 def count_by_invariant(violations: list[Violation]) -> str:
-    """Counts by number; empty for none."""
+    """The number of violations by invariant; empty for none."""
     counts = Counter(violation.invariant for violation in violations)
     return " ".join(f"{number}:{count}" for number, count in sorted(counts.items()))
--- a/stonetrack/soak/platform.py
+++ b/stonetrack/soak/platform.py
@@ -1,8 +1,8 @@
 """Emulated engines and discovery of the platform, on threads and blocking sockets.
 
-Written from the protocol's page.  A prefill engine reads (202), a decode engine streams; states and reservations are
-in the books of :mod:`.engine_side`, so that a test or the oracle sees what is held.  What an engine does wrong is its
-:class:`Trouble`, for a time; ``faults`` scripts its next attempts one by one.
+They follow the protocol page.  A prefill engine answers 202, a decode engine streams; states and reservations are kept
+in the records of :mod:`.engine_side`, where a test or the oracle sees what is held.  An engine misbehaves as its
+:class:`EngineFault` says while that is set; ``scripted_faults`` holds one fault for each of its next attempts.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 LOAD_REPORT = "TEXT inflight=1, queue=0, x0=0.1, x1=0.2"
 CHAT = "/v1/chat/completions"
-UNKNOWN_REPLY_DELAY = 0.3  # seconds after which a reservation is answered as unknown
-SLOW_FACTOR = 10  # times as long lasts the work of a slow engine
-LATE_REJECTION_DELAY = 0.6  # seconds after which an engine turns away late: past the time for releases
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, no time
+UNKNOWN_REPLY_DELAY = 0.3  # seconds before Reply.UNKNOWN_LATE is sent
+SLOW_FACTOR = 10  # factor on the duration of a slow engine's work
+LATE_REJECTION_DELAY = 0.6  # seconds; longer than the node's bound for releases
+RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
 BACKLOG = 256
 
 
 class EngineFault(Enum):
-    """What an engine does wrong while it lasts."""
+    """A way in which an engine misbehaves while the fault lasts."""
 
     HANG_BEFORE = "hangs before its work"
     HANG_DURING = "hangs within its work"
@@ -54,7 +54,7 @@
 
 
 class EngineCall(NamedTuple):
-    """One call at an engine; ``at`` in seconds of the monotonic clock."""
+    """A call that an engine received; ``at`` is in seconds of the monotonic clock."""
 
     at: float
     what: str
@@ -70,7 +70,7 @@
 
 
 class ThreadedServer:
-    """A listener whose connections each have a thread."""
+    """An HTTP server with one thread per connection."""
 
     def __init__(self) -> None:
         self.listener = listen()
@@ -102,15 +102,15 @@
         sock.close()
 
     def receive(self, sock: socket.socket) -> bytes:
-        """What comes next on a connection, empty at its end."""
+        """Receive the next bytes of a connection; empty at its end."""
         return sock.recv(65_536)
 
     def request(self, sock: socket.socket, head: http1.RequestHead, body: bytes) -> None:
-        """Serve one request.  Raises OSError where its connection breaks."""
+        """Serve one request.  Raises OSError if its connection breaks."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """As a process that dies: connections are reset and new ones refused."""
+        """Reset all connections and refuse new ones, like a process that is killed."""
         end_listening(self.listener)
         for sock in list(self.open):
             with contextlib.suppress(OSError):
@@ -118,20 +118,20 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
     def reopen(self) -> None:
-        """Listen again at the same address."""
+        """Listen at the same address again."""
         self.listener = listen(self.port)
         threading.Thread(target=self._accept, args=(self.listener,), daemon=True).start()
 
 
 def wait_for_close(sock: socket.socket, seconds: float) -> bool:
-    """Wait so long; whether the other side closed meanwhile."""
+    """Wait for so many seconds; return whether the peer closed the connection or its sending side meanwhile."""
     poller = select.poll()
     poller.register(sock.fileno(), select.POLLRDHUP)
     return bool(poller.poll(seconds * 1_000.0))
 
 
 class Engine(ThreadedServer):
-    """One engine; ``role`` is prefill or decode."""
+    """An emulated engine; ``role`` is prefill or decode."""
 
     def __init__(self, platform: Platform, name: str, role: str) -> None:
         self.platform, self.name, self.role = platform, name, role
@@ -140,7 +140,7 @@
         self.release_delay = 0.0
         self.reservation_delay = 0.0
         self.load_report = LOAD_REPORT
-        self.ignores_probes = False  # probes are not answered
+        self.ignores_probes = False
         super().__init__()
 
     @property
@@ -149,20 +149,20 @@
         return self.role == "decode"
 
     def close(self) -> None:
-        """See ``Served.close``; what it held is gone."""
+        """See ``ThreadedServer.close``; the engine loses everything that it holds."""
         super().close()
         with self.platform.lock:
             self.platform.state_records.engine_stopped(self.name, time.monotonic_ns())
 
     def receive(self, sock: socket.socket) -> bytes:
-        """See ``Served.next_bytes``; an engine that forgets idle connections resets them."""
+        """See ``ThreadedServer.receive``; with ``EngineFault.RESETS_IDLE`` an idle connection is reset."""
         if self.fault is EngineFault.RESETS_IDLE and not select.select([sock], [], [], 0.3)[0]:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
             return b""
         return sock.recv(65_536)
 
     def request(self, sock: socket.socket, head: http1.RequestHead, body: bytes) -> None:
-        """See ``Served.request``."""
+        """See ``ThreadedServer.request``."""
         job, _, request = head.path.rpartition("/")
         if head.method == "DELETE":
             self._release(sock, request)
@@ -218,7 +218,7 @@
             self._end_attempt(arrival, End.FAILED)
 
     def _handle_cancellation(self, sock: socket.socket, arrival: Arrival) -> None:
-        """The node gave the attempt up; a read may go on to its end all the same."""
+        """The node cancelled the attempt; a prefill may still complete."""
         platform = self.platform
         continues = (
             not arrival.is_decode and not arrival.ended and platform.behaviour.prefill_continues(arrival.request)
@@ -238,7 +238,7 @@
     def _end_attempt(
         self, arrival: Arrival, end: End, state_retained: bool = False, prefill_continues: bool = False
     ) -> None:
-        """The attempt ends: called right before the bytes that end it, so that the next is not taken for a second."""
+        """Record the end of an attempt, right before the bytes that end it, so that the next does not overlap it."""
         with self.platform.lock:
             self.platform.state_records.attempt_ended(
                 arrival, time.monotonic_ns(), end, state_retained, prefill_continues
@@ -248,9 +248,9 @@
         return seconds * (SLOW_FACTOR if self.fault is EngineFault.SLOW else 1)
 
     def _work_for(self, sock: socket.socket, seconds: float) -> None:
-        """Work for so long.  Raises ConnectionError where the node gives the attempt up meanwhile."""
+        """Emulate work of so many seconds.  Raises ConnectionError if the node cancels the attempt meanwhile."""
         if wait_for_close(sock, self._scaled(seconds)):
-            raise ConnectionError("the node gave the attempt up")
+            raise ConnectionError("the node cancelled the attempt")
 
     def _hang(self, sock: socket.socket, fault: EngineFault) -> None:
         while self.fault is fault:
@@ -286,7 +286,7 @@
         return True
 
     def _failed(self, sock: socket.socket, arrival: Arrival, scripted: str) -> bool:
-        """Whether the attempt fails before its answer, with its effect."""
+        """Whether the attempt fails before its answer but after its effect."""
         fault = self.fault
         if scripted == "noise":
             self._end_attempt(arrival, End.FAILED)
@@ -342,18 +342,18 @@
 
 
 class Discovery(ThreadedServer):
-    """A node's discovery agent; a change is told to every watch at once, unless it is ``silent``."""
+    """A node's discovery agent; it sends each change to all watches at once unless it is ``silent``."""
 
     def __init__(self, platform: Platform, node: int = 0) -> None:
         self.platform, self.node = platform, node
         self.changed = platform.changed
         self.request_targets: list[str] = []
         self.silent = False
-        self.deliveries: list[tuple[int, int]] = []  # when a version was written, and which
+        self.deliveries: list[tuple[int, int]] = []  # time and version of each list written
         super().__init__()
 
     def request(self, sock: socket.socket, head: http1.RequestHead, body: bytes) -> None:
-        """See ``Served.request``: a watch, for as long as its connection lasts."""
+        """See ``ThreadedServer.request``: a watch that lasts as long as its connection."""
         self.request_targets.append(head.target)
         while self.silent:
             if wait_for_close(sock, 0.05):
@@ -379,7 +379,7 @@
 
 
 class Platform:
-    """Engines, discovery and the record of what passed."""
+    """Emulated engines and discovery agents, and the records of the calls that they received."""
 
     def __init__(self, prefill_count: int, decode_count: int, node_count: int = 1) -> None:
         self.lock = threading.RLock()
@@ -391,20 +391,20 @@
         self.times_left: dict[str, str] = {}
         self.work_seconds, self.event_interval, self.event_count = 0.005, 0.005, 5
         self.unknown_reply_delay = UNKNOWN_REPLY_DELAY
-        self.behaviour = EngineBehaviour(0, MOST_HELPFUL)  # what the page leaves open, as the engines keep it
-        self.cached_tokens = 16  # tokens that every read is said to have found kept
+        self.behaviour = EngineBehaviour(0, MOST_HELPFUL)  # what the protocol page leaves unspecified
+        self.cached_tokens = 16  # prefix cache hit that every prefill reports, in tokens
         self.rev = 1
         names = [*(f"r{n}" for n in range(prefill_count)), *(f"w{n}" for n in range(decode_count))]
         self.engines = {name: Engine(self, name, "prefill" if name[0] == "r" else "decode") for name in names}
         self.states = dict.fromkeys(names, "SERVING")
-        self.changes: list[tuple[int, int, str, str]] = []  # when, version, engine, its state from then on
+        self.changes: list[tuple[int, int, str, str]] = []  # time, version, engine, its new state
         self.boot_times_ms = dict.fromkeys(names, 0)  # Unix time in milliseconds
         self.endpoint_of: Callable[[int, str], str] = lambda node, name: f"127.0.0.1:{self.engines[name].port}"
         self.agents = [Discovery(self, node) for node in range(node_count)]
 
     @property
     def held(self) -> dict[str, set[str]]:
-        """What is held with no attempt out, by request."""
+        """Kinds of state held without an open attempt, by request."""
         with self.lock:
             found: dict[str, set[str]] = {}
             for record in self.state_records.still_held():
@@ -412,21 +412,21 @@
             return found
 
     def count_open_attempts(self, request: str) -> int:
-        """Attempts of a request that have arrived and not ended."""
+        """The number of attempts of a request that have arrived and not ended."""
         return sum(1 for each in self.state_records.arrivals[-2_000:] if each.request == request and not each.ended)
 
     def record_call(self, what: str, engine: str, request: str) -> None:
-        """A call has arrived."""
+        """Record the arrival of a call."""
         with self.lock:
             self.calls.append(EngineCall(time.monotonic(), what, engine, request))
 
     def calls_for(self, request: str) -> list[tuple[str, str]]:
-        """What passed for a request, in order."""
+        """The calls of a request (kind, engine), in order."""
         with self.lock:
             return [(each.what, each.engine) for each in self.calls if each.request == request]
 
     def document(self, node: int = 0) -> bytes:
-        """The whole list as one node is told it."""
+        """The full server list as sent to one node."""
         targets = [{"uid": name, "endpoint": self.endpoint_of(node, name), "az": "a", "model": engine.role,
                     "pod_group": 0, "state": self.states[name], "capacity_hint": 1.0,
                     "boot_ms": self.boot_times_ms.get(name, 0)}
@@ -434,13 +434,13 @@
         return json.dumps({"rev": self.rev, "all": True, "targets": targets}).encode()
 
     def change_state(self, name: str, state: str) -> None:
-        """An engine's state changes, and is told."""
+        """Change an engine's state and notify the watches."""
         with self.changed:
             self.states[name] = state
             self._changed(name, state)
 
     def restart_engine(self, name: str) -> None:
-        """An engine that was closed is back, cold, at its address."""
+        """Restart a closed engine, with empty caches, at its address."""
         self.engines[name].reopen()
         with self.changed:
             self.boot_times_ms[name] = int(wall_time() * 1_000)
@@ -460,6 +460,6 @@
             "known": json.loads(self.document(node)), "settings": settings}).encode()  # fmt: skip
 
     def close(self) -> None:
-        """End all engines and agents."""
+        """Close all engines and agents."""
         for each in (*self.engines.values(), *self.agents):
             each.close()
--- a/stonetrack/soak/report.py
+++ b/stonetrack/soak/report.py
@@ -1,4 +1,4 @@
-"""What a soak leaves to read: one line a seed, and for a failed one the timeline of each request that went wrong."""
+"""Reports of a soak: one line per seed, and for a failed seed a timeline of each request with a violation."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from stonetrack.soak.run import Result, RunSize
 
 SECOND = 1e9
-MAX_REQUESTS = 20  # timelines written for one seed
+MAX_REQUESTS = 20  # timelines written per seed
 TIMELINE_FILE = "timeline.txt"
 
 
 def summary_line(result: Result) -> str:
-    """The line of one seed."""
+    """The result of one seed in one line."""
     broken = count_by_invariant(result.violations) or "none"
     return (
         f"seed {result.seed}: service {result.served_share:.3f} of {result.requests} requests, "
@@ -24,7 +24,7 @@
 
 
 def replay_command(seed: int, size: RunSize) -> str:
-    """The command that plays a seed again."""
+    """The command that runs a seed again."""
     return (
         f"stonetrack soak --seeds {seed}:{seed + 1} --nodes {size.nodes} --seconds {size.seconds:g} "
         f"--rate {size.rate:g} --report DIR"
@@ -32,14 +32,14 @@
 
 
 class Timeline:
-    """The events of single requests in order of time, from client, links, engines and node logs on one clock."""
+    """Events of single requests, ordered by time, from clients, links, engines and node logs (one common clock)."""
 
     def __init__(self, result: Result, folder: Path) -> None:
         self._result = result
         self._logs = {path.parent.name: path.read_text("utf-8", "replace") for path in folder.glob("n*/err.txt")}
 
     def events_of(self, request: str) -> list[str]:
-        """All that is known of one request."""
+        """The events of one request and the node log lines that name it."""
         load_started, evidence = self._result.load_started, self._result.evidence
         events: list[tuple[int, str]] = []
         for client in evidence.client_records:
@@ -72,7 +72,7 @@
 
 
 def write_timeline(result: Result, size: RunSize, folder: Path) -> None:
-    """The timeline of a seed that failed, beside its logs."""
+    """Write the timeline of a failed seed next to its logs."""
     lines = [
         summary_line(result),
         replay_command(result.seed, size),
--- a/stonetrack/soak/run.py
+++ b/stonetrack/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed: a fleet of real node processes under drawn faults, and what the oracle says of it."""
+"""The run of one seed: real node processes under drawn faults, judged by the oracle."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
 LINK_LOG = "links.jsonl"
 MONITOR_INTERVAL = 0.01  # seconds
 RELEASE_WITHIN = 500 * MS
-SUSPEND_SECONDS = 0.15  # seconds of a node that is held up
-REFILL_INTERVAL = 0.05  # seconds between two looks of a crowd
-LONGEST_DEADLINE = 5.0  # seconds, of the classes below
-KILL_TIMEOUT = min(LONGEST_DEADLINE, 3.0) + 0.7  # seconds from SIGTERM to SIGKILL: the soonest that the page allows
-MAX_IDLE_CPU = 0.3  # seconds of a processor in one second of rest
-MAX_EXTRA_DESCRIPTORS = 100  # over those before the load: kept connections, wakers of resting workers, late answers
+SUSPEND_SECONDS = 0.15  # duration of one SIGSTOP
+REFILL_INTERVAL = 0.05  # seconds between two calls of IdleConnections.refill()
+LONGEST_DEADLINE = 5.0  # seconds; the maximum of the classes below
+KILL_TIMEOUT = min(LONGEST_DEADLINE, 3.0) + 0.7  # seconds from SIGTERM to SIGKILL: the page's minimum
+MAX_IDLE_CPU = 0.3  # processor seconds per second after the load
+MAX_EXTRA_DESCRIPTORS = 100  # since before the load: pooled connections, wake-up pipes of idle workers, late answers
 MAX_THREADS = 400
-MAX_LATENESS = 100 * MS  # of the harness, over which a play that failed is played again
-MAX_PROCESSOR_WAIT_SHARE = 0.15  # share of the time in which work had no processor, the same
-MAX_RUNS = 3  # of one seed on a machine that is short
-PROCESSOR_WAIT_TIMEOUT = 60.0  # seconds for which the next of them waits for processors
+MAX_LATENESS = 100 * MS  # of the harness; a failed run with more is repeated
+MAX_PROCESSOR_WAIT_SHARE = 0.15  # of the time in which work waited for a processor; as above
+MAX_RUNS = 3  # of one seed while the machine's resources are exhausted
+PROCESSOR_WAIT_TIMEOUT = 60.0  # seconds that a repeated run waits for free processors
 CLASSES = (
     Traffic(name="quick", share=2.0, deadline_ms=3_500, aim_ms=1_500, turn_tokens=(100, 600)),
     Traffic(name="keyed", share=1.0, deadline_ms=5_000, aim_ms=2_000, effect="keyed", turn_tokens=(100, 600)),
@@ -57,44 +57,46 @@
 
 @dataclass(frozen=True, slots=True)
 class RunSize:
-    """How large a play is."""
+    """The size of a run."""
 
     nodes: int = 10
     prefill: int = 5
     decode: int = 6
     rate: float = 60.0  # new requests a second, over all nodes
     seconds: float = 20.0
-    quiet: float = 4.0  # seconds after the last answer, in which all has to come to rest
+    quiet: float = 4.0  # seconds after the last answer until the nodes must be idle
 
 
 @dataclass(slots=True)
 class Result:
-    """What came of one seed."""
+    """The result of one seed."""
 
     seed: int
     faults: list[Fault]
     violations: list[Violation]
     served_share: float
     requests: int
-    lateness: int  # the harness's, at most, in nanoseconds
-    processor_wait_share: float  # share of the time in which work had no processor
+    lateness: int  # maximum of the harness in nanoseconds
+    processor_wait_share: float  # share of the time in which work waited for a processor
     evidence: Evidence
-    load_started: int  # monotonic ns of the load's start
+    load_started: int  # monotonic nanoseconds
 
     @property
     def passed(self) -> bool:
-        """Whether nothing was broken."""
+        """Whether there are no violations."""
         return not self.violations
 
     @property
     def resources_exhausted(self) -> bool:
-        """Whether harness or machine were so late that what was broken may be their own fault."""
+        """Whether harness or machine were late enough to have caused the violations."""
         return self.lateness > MAX_LATENESS or self.processor_wait_share > MAX_PROCESSOR_WAIT_SHARE
 
 
 class _LatenessMonitor:
-    """Measures by how much this process wakes up too late, and how long its links and engines take for a byte there and
-    back: a link that carries late makes a node late."""
+    """Measures the lateness of this process.
+
+    A sample is the delay of a timed wake-up plus the round trip of a byte through a link: a late link delays the nodes.
+    """
 
     def __init__(self, links: Links) -> None:
         self.samples: list[tuple[int, int]] = []
@@ -134,7 +136,7 @@
 
 
 def node_settings(nodes: int, number: int) -> dict[str, Any]:
-    """The settings of one node, nested as its configuration has them."""
+    """The settings of one node, in the structure of its configuration file."""
     return {
         "me": number, "balancers": nodes, "zone": 0, "zones": ["a"], "kinds": ["prefill", "decode"],
         "bounds": {"max_attempts": 4, "cancel": True, "probing": True, "retry_after": True,
@@ -157,13 +159,13 @@
 
 
 def soak_clients(rate: float) -> Clients:
-    """How clients of a soak behave."""
+    """The behaviour of a soak's clients at ``rate`` new requests per second."""
     return Clients(rate=rate, classes=CLASSES, plain=0.0, kserve=0.0, leave_at_first=0.02, leave_early=0.04, slow=0.01,
                    half_close=0.01, stops=0.01, little_time=0.02, retries=1, retry_ms=30)  # fmt: skip
 
 
 class SeedRun:
-    """One seed from start to verdict; ``folder`` takes logs, ``pinned`` sentences of the page are not drawn."""
+    """The run of one seed, up to its verdict; ``folder`` receives the logs, ``pinned`` choices are not drawn."""
 
     def __init__(
         self,
@@ -177,9 +179,9 @@
         pinned: Mapping[Unspecified, object] | None = None,
     ) -> None:
         self.seed, self.size, self.folder = seed, size, folder
-        self._program = program  # the checkout whose nodes are played; None: this one
+        self._program = program  # checkout that the nodes run from; None: this one
         self.client_settings = client_settings or soak_clients(size.rate)
-        shutil.rmtree(folder, ignore_errors=True)  # a play reads its nodes' logs, and none of another's
+        shutil.rmtree(folder, ignore_errors=True)  # logs of an earlier run would be judged as well
         folder.mkdir(parents=True)
         self.platform = Platform(size.prefill, size.decode, size.nodes)
         random_source = random.Random(f"world/{seed}")
@@ -195,15 +197,15 @@
         self._create_links(size)
         engines = self.platform.engines.values()
         prefill, decode = ([e.name for e in engines if e.is_decode is is_decode] for is_decode in (False, True))
-        self._faults_drawn = faults is None  # a script may leave no engine to serve
+        self._faults_drawn = faults is None  # given faults may leave no engine that serves
         self.faults = draw_faults(seed, size.seconds, size.nodes, prefill, decode) if faults is None else faults
-        self._port_holders: list[socket.socket] = []  # nodes' ports are taken, also while their processes are away
+        self._port_holders: list[socket.socket] = []  # keep the nodes' ports bound while their processes are down
         self.nodes = [self._create_node(number, trace) for number in range(size.nodes)]
         self._watch_faults: dict[int, list[tuple[int, int]]] = defaultdict(list)
         self._faulty_periods: dict[str, list[tuple[int, int]]] = defaultdict(list)
         self._findings: list[str] = []
         self._threads: list[threading.Thread] = []
-        # A process gets its parent-death signal when the thread that started it ends (prctl(2)): one lasts.
+        # A process gets its parent-death signal when the thread that started it ends (prctl(2)): keep one thread.
         self._start_executor = ThreadPoolExecutor(1)
 
     def _create_links(self, size: RunSize) -> None:
@@ -225,10 +227,10 @@
         )
         return Node(number, port, data, self.folder / f"n{number}", trace, self._program)
 
-    # The play.
+    # The run.
 
     def run(self) -> Result:
-        """Play it.  Raises RuntimeError where a node does not start or the clients do not end."""
+        """Run the seed.  Raises RuntimeError if a node does not start or the clients do not end."""
         monitor = _LatenessMonitor(self.links)
         load: Apart | None = None
         try:
@@ -288,7 +290,7 @@
             self._faulty_periods[engine].append((since, until))
         try:
             _INJECTORS[fault.kind](self, fault)
-        except Exception as error:  # a fault that can't be played makes the play void, not green
+        except Exception as error:  # a fault that cannot be injected makes the run fail, not pass
             self._findings.append(f"harness: {fault.describe()}: {type(error).__name__}: {error}")
         for engine in fault.engines:
             self._faulty_periods[engine].append((since, time.monotonic_ns() + SECOND))
@@ -301,7 +303,7 @@
         ]
 
     def change_links(self, fault: Fault, **policy: Any) -> None:
-        """Links to a fault's engines do something until it ends."""
+        """Apply a policy to the links to the fault's engines until the fault ends."""
         links = self._fault_links(fault)
         for link in links:
             self.links.change(link, **policy)
@@ -310,7 +312,7 @@
             self.links.change(link, **{name: type(value)() for name, value in policy.items()})
 
     def silence_open_connections(self, fault: Fault) -> None:
-        """Connections that are open now fall silent."""
+        """Silence the connections that are open now."""
         links = self._fault_links(fault)
         for link in links:
             self.links.silence_open(link)
@@ -319,14 +321,14 @@
             self.links.speak_again(link)
 
     def silence_open_connections_permanently(self, fault: Fault) -> None:
-        """Connections that are open now fall silent; none of their bytes arrives, unless the end of another fault on
-        the same links lets them."""
+        """Silence the connections that are open now for good; the end of another fault on the same links may still let
+        their bytes pass."""
         for link in self._fault_links(fault):
             self.links.silence_open(link)
-        time.sleep(LONGEST_DEADLINE)  # by then no request waits on them
+        time.sleep(LONGEST_DEADLINE)  # afterwards no request waits on them
 
     def unreachable(self, fault: Fault) -> None:
-        """New connections never come up."""
+        """Let new connections to the fault's engines never be established."""
         links = self._fault_links(fault)
         for link in links:
             self.links.unreachable(link, True)
@@ -335,12 +337,12 @@
             self.links.unreachable(link, False)
 
     def reset(self, fault: Fault) -> None:
-        """All connections are reset."""
+        """Reset all connections to the fault's engines."""
         for link in self._fault_links(fault):
             self.links.reset(link)
 
     def kill_engine(self, fault: Fault) -> None:
-        """An engine dies and comes back cold."""
+        """Kill engines and restart them with empty caches."""
         for engine in fault.engines:
             self.platform.engines[engine].close()
         time.sleep(fault.seconds)
@@ -348,7 +350,7 @@
             self.platform.restart_engine(engine)
 
     def inject_engine_fault(self, fault: Fault) -> None:
-        """An engine does something wrong."""
+        """Let engines misbehave until the fault ends."""
         for engine in fault.engines:
             self.platform.engines[engine].fault = fault.engine_fault
         time.sleep(fault.seconds)
@@ -356,7 +358,7 @@
             self.platform.engines[engine].fault = None
 
     def drain(self, fault: Fault) -> None:
-        """An engine drains and comes back."""
+        """Drain engines and return them to service."""
         for engine in fault.engines:
             self.platform.change_state(engine, "DRAINING")
         time.sleep(fault.seconds)
@@ -364,7 +366,7 @@
             self.platform.change_state(engine, "SERVING")
 
     def silence_agent(self, fault: Fault) -> None:
-        """A node's agent says nothing."""
+        """Silence a node's discovery agent."""
         agent, since = self.platform.agents[fault.node], time.monotonic_ns()
         agent.silent = True
         time.sleep(fault.seconds)
@@ -374,7 +376,7 @@
         self._watch_faults[fault.node].append((since, time.monotonic_ns()))
 
     def silence_watch(self, fault: Fault) -> None:
-        """A node's watch falls silent on its connection."""
+        """Silence the connection of a node's watch."""
         since = time.monotonic_ns()
         link = self._agent_links[fault.node]
         self.links.silence_open(link)
@@ -383,7 +385,7 @@
         self._watch_faults[fault.node].append((since, time.monotonic_ns()))
 
     def terminate(self, fault: Fault) -> None:
-        """A node is told to end, and started again."""
+        """Terminate a node by SIGTERM and restart it."""
         node = self.nodes[fault.node]
         with node.control_lock:
             node.terminate(KILL_TIMEOUT)
@@ -391,7 +393,7 @@
             node.wait_until_up()
 
     def kill_node(self, fault: Fault) -> None:
-        """A node is killed, and started again."""
+        """Kill a node and restart it."""
         node = self.nodes[fault.node]
         with node.control_lock:
             node.kill()
@@ -400,13 +402,13 @@
             node.wait_until_up()
 
     def reload(self, fault: Fault) -> None:
-        """A node reads its configuration again."""
+        """Let a node reload its configuration."""
         node = self.nodes[fault.node]
         with node.control_lock:
             node.reload()
 
     def suspend(self, fault: Fault) -> None:
-        """A node is held up, several times."""
+        """Suspend a node repeatedly."""
         node, until = self.nodes[fault.node], time.monotonic() + fault.seconds
         while time.monotonic() < until:
             with node.control_lock:
@@ -414,7 +416,7 @@
             time.sleep(0.4)
 
     def open_idle_connections(self, fault: Fault) -> None:
-        """Silent connections crowd a node, through its ends and restarts."""
+        """Keep idle connections open to a node, also while it terminates and restarts."""
         until = time.monotonic() + fault.seconds
         with IdleConnections(self.nodes[fault.node].address, fault.amount) as connections:
             while time.monotonic() < until:
@@ -424,7 +426,7 @@
                 "crowd", node=fault.node, opened=connections.opened, closed_by_node=connections.closed_by_node
             )
 
-    # Rest and verdict.
+    # Idle state and verdict.
 
     def _check_idle(self, before: list[ResourceUsage]) -> None:
         time.sleep(self.size.quiet)
@@ -479,16 +481,16 @@
     output: Callable[[str], None] = print,
     expected: Callable[[Result], bool] = lambda result: result.passed,
 ) -> Result:
-    """Play a seed; again where what came of it is not what was expected and the machine was short, ``TRIES`` times in
-    all, each of them said."""
+    """Run a seed; repeat the run, at most ``MAX_RUNS`` in total, if its result is not the expected one and resources
+    were exhausted.  Each repetition is reported to ``output``."""
     result = create_run().run()
     for number in range(2, MAX_RUNS + 1):
         if expected(result) or not result.resources_exhausted:
             break
         late, waited = result.lateness / MS, result.processor_wait_share
         output(
-            f"seed {result.seed}: the machine was short (late by {late:.0f} ms, waited for {waited:.2f} of the time), "
-            f"{len(result.violations)} violations; play {number} of {MAX_RUNS}"
+            f"seed {result.seed}: resources were exhausted (late by {late:.0f} ms, waited for {waited:.2f} of the "
+            f"time), {len(result.violations)} violations; run {number} of {MAX_RUNS}"
         )
         wait_for_processors(PROCESSOR_WAIT_TIMEOUT)
         result = create_run().run()
--- a/stonetrack/soak/unspecified.py
+++ b/stonetrack/soak/unspecified.py
@@ -1,8 +1,8 @@
-"""What the protocol's page leaves open to an engine, drawn from a seed.  No I/O, no clock.
+"""Engine behaviour that the protocol page leaves unspecified, drawn from a seed.  No I/O, no clock.
 
-Written from the page, never from what the node hopes: each :class:`Sentence` is one that an engine may keep in more
-than one way, and :class:`Latitude` draws which, for each request anew and the same each time.  A test pins one sentence
-to one of its readings and leaves the others as they are; docs/obligations.md lists them with what is drawn.
+The choices follow from the page, not from what the node assumes: an engine may comply with each :class:`Unspecified`
+statement in more than one way, and :class:`EngineBehaviour` draws one of these ways per request, deterministically.  A
+test can pin a statement to one choice and leave the others drawn; docs/obligations.md lists the statements.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Unspecified(Enum):
-    """One sentence of the page that leaves something open."""
+    """A statement of the protocol page that permits more than one behaviour."""
 
     RESERVATION_REPLY = "200 when held, 409 when not held, 204 when not known, 404 where nothing was done; or silence"
     RESERVATION_UNKNOWN = "204, or no answer: a place may be held all the same"
@@ -25,30 +25,30 @@
 
 
 class Reply(Enum):
-    """What a decode engine says to a reservation."""
+    """A decode engine's reply to a reservation."""
 
     HELD = 200
     NOT_HELD = 409
     UNKNOWN_AT_ONCE = 204
-    UNKNOWN_LATE = 205  # 204 as well, after 0.3 s
+    UNKNOWN_LATE = 205  # 204, sent 0.3 s later
     NOTHING_DONE = 404
     SILENCE = 0
 
     @property
     def status(self) -> int:
-        """The status that is sent; 0 for none."""
+        """The HTTP status to send; 0 for no reply."""
         return 204 if self is Reply.UNKNOWN_LATE else self.value
 
 
 CHOICES: Mapping[Unspecified, tuple[object, ...]] = {
     Unspecified.RESERVATION_REPLY: tuple(Reply),
-    Unspecified.RESERVATION_UNKNOWN: (True, False),  # held all the same
-    Unspecified.GIVEN_UP: (False, False, True),  # a read that was given up goes on to its end and leaves its state
-    Unspecified.GIVEN_UP_TOLD: (True, False),  # it is answered when it ends, or its connection is closed then
-    Unspecified.RELEASE_INTO_READ: (True, True, False),  # what a running read brings about is released with the rest
+    Unspecified.RESERVATION_UNKNOWN: (True, False),  # whether the reservation is held nevertheless
+    Unspecified.GIVEN_UP: (False, False, True),  # whether a cancelled prefill completes and leaves its state
+    Unspecified.GIVEN_UP_TOLD: (True, False),  # answered at its end, or the connection is closed then
+    Unspecified.RELEASE_INTO_READ: (True, True, False),  # whether it also releases the state of a running prefill
     Unspecified.TURNED_AWAY: (503, 504),
 }
-"""The readings of each sentence; one that stands twice is drawn twice as often."""
+"""The choices for each statement; a repeated choice is drawn more often."""
 
 MOST_HELPFUL: Mapping[Unspecified, object] = {
     Unspecified.RESERVATION_REPLY: Reply.HELD,
@@ -58,7 +58,7 @@
     Unspecified.RELEASE_INTO_READ: True,
     Unspecified.TURNED_AWAY: 503,
 }
-"""For tests that look at something else."""
+"""The choices that help a node most, for tests of other behaviour."""
 
 LEAST_HELPFUL: Mapping[Unspecified, tuple[object, ...]] = {
     Unspecified.RESERVATION_REPLY: (Reply.HELD, Reply.SILENCE),
@@ -68,21 +68,21 @@
     Unspecified.RELEASE_INTO_READ: (False,),
     Unspecified.TURNED_AWAY: (504,),
 }
-"""The readings that help a node least: what it holds to be proven may not be."""
+"""The choices that help a node least, and contradict what it might assume."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReservationOutcome:
-    """What becomes of one reservation call, whatever became of the prefill attempt."""
+    """The outcome of a reservation call, independent of the prefill attempt."""
 
     reply: Reply
     held: bool
 
 
 class EngineBehaviour:
-    """Draws one reading of each sentence for each request; ``pinned`` sentences are not drawn.
+    """Draws a choice for each statement and request; ``pinned`` statements are not drawn.
 
-    Raises ValueError for a pinned reading that the page does not allow."""
+    Raises ValueError if the page does not permit a pinned choice."""
 
     def __init__(self, seed: int, pinned: Mapping[Unspecified, object] | None = None) -> None:
         self._seed, self._pinned = seed, dict(pinned or {})
@@ -96,7 +96,7 @@
         return random.Random(f"{self._seed}/{unspecified.name}/{request}").choice(CHOICES[unspecified])
 
     def reservation(self, request: str) -> ReservationOutcome:
-        """The answer to a reservation, and whether one is held from then on."""
+        """The reply to a reservation, and whether the reservation is held from then on."""
         reply = self._choice(Unspecified.RESERVATION_REPLY, request)
         assert isinstance(reply, Reply)
         unknown = reply in (Reply.UNKNOWN_AT_ONCE, Reply.UNKNOWN_LATE, Reply.SILENCE)
@@ -104,19 +104,19 @@
         return ReservationOutcome(reply, held)
 
     def prefill_continues(self, request: str) -> bool:
-        """Whether a read that is given up goes on to its end and leaves its state."""
+        """Whether a cancelled prefill completes and leaves its state."""
         return bool(self._choice(Unspecified.GIVEN_UP, request))
 
     def answers_late_prefill(self, request: str) -> bool:
-        """Whether such a read is answered at its end, where the connection still takes it; else it is closed then."""
+        """Whether a cancelled prefill that completes is answered if the connection is open; otherwise it is closed."""
         return bool(self._choice(Unspecified.GIVEN_UP_TOLD, request))
 
     def release_includes_running_prefill(self, request: str) -> bool:
-        """Whether a release also takes the state of a read that has not ended."""
+        """Whether a release also removes the state of a prefill that is still running."""
         return bool(self._choice(Unspecified.RELEASE_INTO_READ, request))
 
     def rejection_status(self, request: str) -> int:
-        """The status with which a full engine turns away."""
+        """The status with which a full engine rejects an attempt."""
         status = self._choice(Unspecified.TURNED_AWAY, request)
         assert isinstance(status, int)
         return status
--- a/tests/test_engine_side.py
+++ b/tests/test_engine_side.py
@@ -1,4 +1,4 @@
-"""The oracle's books of what engines know: when a clock of something held runs, stops and is told."""
+"""The engine-side records of the oracle: when the period of a held state starts, ends and is recorded."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     records.attempt_ended(arrival, until, End.ANSWERED)
 
 
-def test_a_state_is_held_from_its_reads_end_to_the_arrival_of_its_taker() -> None:
+def test_a_state_is_held_from_the_end_of_its_prefill_to_the_arrival_of_a_decode_attempt() -> None:
     records = EngineStateRecords()
     complete_prefill(records)
     assert records.still_held() == [HeldState("q", HeldKind.STATE, "r0", 10, 0)]
@@ -28,7 +28,7 @@
     assert records.history == [HeldState("q", HeldKind.STATE, "r0", 10, 30)]
 
 
-def test_a_state_that_was_not_fetched_waits_again_from_the_attempts_end() -> None:
+def test_a_state_that_was_not_fetched_is_held_again_from_the_end_of_the_attempt() -> None:
     records = EngineStateRecords()
     complete_prefill(records)
     attempt = decode(30)
@@ -38,11 +38,11 @@
     assert records.attempt_arrived(decode(60))
 
 
-def test_a_decode_attempt_without_a_state_finds_none() -> None:
+def test_a_decode_attempt_without_a_held_state_finds_none() -> None:
     assert not EngineStateRecords().attempt_arrived(decode(5))
 
 
-def test_a_release_frees_what_no_attempt_waits_for_and_takes_a_running_read() -> None:
+def test_a_release_removes_held_states_and_that_of_a_running_prefill() -> None:
     records = EngineStateRecords()
     complete_prefill(records)
     records.release("q", 40)
@@ -55,7 +55,7 @@
     assert not records.still_held()
 
 
-def test_a_reservations_clock_runs_while_no_attempt_is_out() -> None:
+def test_a_reservation_counts_as_held_while_no_attempt_is_open() -> None:
     records = EngineStateRecords()
     records.reserve("q", "w0", 5)
     assert [held.since for held in records.still_held()] == [5]
@@ -67,7 +67,7 @@
     assert records.still_held() == [HeldState("q", HeldKind.RESERVATION, "w1", 20, 0)]
 
 
-def test_an_engine_that_is_gone_holds_nothing_and_runs_nothing() -> None:
+def test_a_stopped_engine_holds_nothing_and_runs_nothing() -> None:
     records = EngineStateRecords()
     complete_prefill(records)
     attempt = decode(20, request="p")
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -1,4 +1,4 @@
-"""The bad day: scenarios, the judge on made-up logs, a bench day turned into one, and the day itself on two seeds."""
+"""Scenarios: the judge on constructed logs, conversion of a bench scenario, and the demo scenario on two seeds."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 ]  # fmt: skip
 
 
-def test_a_good_request_breaks_nothing() -> None:
+def test_a_correct_request_breaks_no_rule() -> None:
     assert rules([seen()], GOOD) == []
 
 
@@ -103,11 +103,11 @@
         ([seen()], [rec(1, "place", engine="w0", id="q", instance="i0"), rec(400, "down", engine="w0", why="crash")], []),
     ],
 )  # fmt: skip
-def test_each_breach_is_named(saw: list[Seen], log: list[dict[str, Any]], broken: list[int]) -> None:
+def test_each_breach_is_reported(saw: list[Seen], log: list[dict[str, Any]], broken: list[int]) -> None:
     assert rules(saw, log) == broken
 
 
-def test_a_kill_excuses_what_the_killed_instance_held_and_nothing_else() -> None:
+def test_a_kill_excuses_only_requests_and_states_of_the_killed_instance() -> None:
     kill = Kill(1_000 * MS, 1_060 * MS, "i0")
     assert rules([seen(ended="cut", end=1_050 * MS)], GOOD, [kill]) == []
     assert rules([seen(ended="cut", sent=1_050 * MS, end=1_070 * MS)], GOOD, [kill]) == []
@@ -115,7 +115,7 @@
     assert rules([seen(ended="cut", sent=1_500 * MS, end=1_600 * MS)], GOOD, [kill]) == [1]
     slow = seen(ended="cut", behaviour="slow", end=3_070 * MS)
     assert rules([slow], GOOD, [kill]) == [1]
-    slow.slept = 2_000 * MS  # it reads on what had come before the kill, and the end after that
+    slow.slept = 2_000 * MS  # it still reads what arrived before the kill
     assert rules([slow], GOOD, [kill]) == []
     held = [sent(990, "r0", "read", 0, 1), rec(995, "state", engine="r0", id="q"), done(995, 1)]
     assert rules([], held, [kill]) == []
@@ -123,7 +123,7 @@
 
 
 def cut(begin: int, end: int, *to: str, of: str = "n0") -> list[dict[str, Any]]:
-    """A rig's log of a link cut between two times, ms."""
+    """Log records of a test harness that cuts links between two times in milliseconds."""
     return [rec(t, what, fault="cut", to=f"e:{name}", of=of)
             for t, what in ((begin, "fault"), (end, "over")) for name in to]  # fmt: skip
 
@@ -149,24 +149,24 @@
     [
         (HELD, [], [5]),
         (HELD, cut(100, 5_400, "r0"), []),
-        (HELD, cut(100, 4_000, "r0"), [5]),  # whole again for 1.5 s before it was let go of
+        (HELD, cut(100, 4_000, "r0"), [5]),  # restored 1.5 s before the release
         (HELD, cut(100, 5_400, "r0", of="n1"), [5]),  # another node's link
         (HELD, cut(100, 5_400, "r1"), [5]),
         (PLACE, [], [5]),
-        (PLACE, cut(4, 3_000, "r0"), []),  # its node had not heard that the read was done
+        (PLACE, cut(4, 3_000, "r0"), []),  # its node had not received the end of the prefill
         (PLACE, cut(4, 2_000, "r0"), [5]),
         (WRITE, [], [5]),
-        (WRITE, cut(50, 2_995, "w0"), []),  # sent long ago, and kept by its link
+        (WRITE, cut(50, 2_995, "w0"), []),  # sent long before, delayed by its link
         (WRITE, cut(50, 2_500, "w0"), [5]),
         (LATE, [], [2]),
-        (LATE, cut(0, 2_995, "r0"), []),  # sent first, and kept by its link while the next one ran
+        (LATE, cut(0, 2_995, "r0"), []),  # sent first, delayed by its link while the next attempt ran
         (LATE, cut(0, 1_000, "r0"), [2]),
         (OUT, [], [2]),
-        (OUT, cut(0, 2_995, "r0"), []),  # the engine heard late that it was called off
+        (OUT, cut(0, 2_995, "r0"), []),  # the cancellation reached the engine late
         (OUT, cut(0, 600, "r0"), [2]),
     ],
 )  # fmt: skip
-def test_a_link_that_was_cut_is_no_breach_of_the_node_and_no_longer_than_it_was(
+def test_a_cut_link_excuses_the_node_only_for_the_duration_of_the_cut(
     log: list[dict[str, Any]], links: list[dict[str, Any]], broken: list[int]
 ) -> None:
     mine = [{**r, "instance": "n0-0"} for r in log]
@@ -174,26 +174,24 @@
     assert [breach.rule for breach in verdict.breaches if breach.rule != 1] == broken
 
 
-def test_faults_that_overlap_count_once_and_what_is_not_over_lasts() -> None:
+def test_overlapping_faults_count_once_and_an_open_fault_lasts_to_the_end() -> None:
     late = [rec(0, "fault", fault="delay", to="e:r0", of="*", late_ms=50.0),
             rec(100, "over", fault="delay", to="e:r0", of="*")]  # fmt: skip
     made = faults([*late, *cut(150, 300, "r0"), rec(900, "fault", fault="refuse", to="e:r0", of="*")], 1_000 * MS)
-    assert (
-        made.held("r0", "n0-0", 0, 2_000 * MS) == 400 * MS
-    )  # 0 to 200 with what was late there and back, to 300, from 900
+    assert made.held("r0", "n0-0", 0, 2_000 * MS) == 400 * MS  # 0 to 200 (delay in both directions), to 300, from 900
     assert made.held("r0", "n1-0", 0, 2_000 * MS) == 300 * MS and made.held("r1", "n0-0", 0, 2_000 * MS) == 0
     assert made.held("r0", "n0-0", 250 * MS, 260 * MS) == 10 * MS
 
 
 @pytest.mark.parametrize("node, broken", [("n0", []), ("n1", [1])])
-def test_a_node_that_was_stopped_is_given_that_time(node: str, broken: list[int]) -> None:
+def test_the_time_of_a_stopped_node_extends_its_bounds(node: str, broken: list[int]) -> None:
     stopped = [rec(t, what, fault="stop", to=node, of="*") for t, what in ((50, "fault"), (5_000, "over"))]
     late = seen(head=5_200 * MS, end=5_300 * MS, instance="n0-0")
     verdict = Judge([late], [], [], [SAFE], TERMS, 10_000 * MS, links=faults(stopped, 10_000 * MS)).verdict()
     assert [breach.rule for breach in verdict.breaches] == broken
 
 
-def test_a_cold_budget_is_reckoned_from_arrivals() -> None:
+def test_a_slow_start_budget_is_computed_from_arrivals() -> None:
     up = rec(0, "up", engine="r0", role="reader", cold=True, started=0, capacity=1_000.0, cold_share=0.25, warm_ms=10_000.0,
              cold_multiple=3.0, cold_window_ms=1_000.0)  # fmt: skip
     few = [rec(t, "work", engine="r0", id="q", work=100.0) for t in range(1_000, 3_000, 200)]
@@ -202,7 +200,7 @@
     assert rules([], [{**up, "cold": False}, *many]) == []
 
 
-def test_a_retry_counts_with_its_first_try() -> None:
+def test_a_retry_counts_with_its_first_attempt() -> None:
     made = [seen(ended="refused", done_events=0, first=0), seen("q2", retry=1), seen("q3", number=2, first=1_500 * MS)]
     verdict = Judge(made, [], [], [Traffic(name="safe", late_worth=0.25)], TERMS).verdict()
     assert verdict.service == pytest.approx((1.0 + 0.25) / 2)
@@ -211,7 +209,7 @@
 # Scenarios.
 
 
-def test_a_plan_and_a_schedule_are_the_same_every_time() -> None:
+def test_plan_and_schedule_are_deterministic() -> None:
     scenario = load_scenario(DAY)
     assert plan(scenario, 3) == plan(scenario, 3) != plan(scenario, 4)
     steps = plan(scenario, 3)
@@ -232,7 +230,7 @@
         ("sed: 1", "sed"),
     ],
 )
-def test_a_bad_scenario_says_what_is_wrong(tmp_path: Path, change: str, said: str) -> None:
+def test_an_invalid_scenario_is_refused_with_the_invalid_value(tmp_path: Path, change: str, said: str) -> None:
     path = tmp_path / "day.jsonnet"
     path.write_text(f"(import '{DAY}') + {{ {change} }}")
     with pytest.raises(SettingsError) as refused:
@@ -256,7 +254,7 @@
 }  # fmt: skip
 
 
-def test_a_bench_days_troubles_become_a_scenario() -> None:
+def test_faults_of_a_bench_scenario_are_converted() -> None:
     made, left_out = convert(json.dumps(BENCH).encode(), engines=8, instances=2, seconds=20.0)
     scenario = msgspec.convert(made, Scenario)
     assert [t.what for t in scenario.troubles] == ["crash", "leave", "burst", "kill", "throttle"]
@@ -267,12 +265,12 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b'{"length": 1, "troubles": [], "classes": [], "servers": []}'])
-def test_what_is_no_bench_day_is_refused(data: bytes) -> None:
-    with pytest.raises(BenchError, match="not a bench day"):
+def test_data_that_is_not_a_bench_scenario_is_refused(data: bytes) -> None:
+    with pytest.raises(BenchError, match="not a bench scenario"):
         convert(data)
 
 
-# The day itself, as a newcomer runs it.
+# The demo scenario, run by the command.
 
 
 def start_scenario(path: Path, seed: int, folder: Path) -> subprocess.Popen[str]:
@@ -281,8 +279,8 @@
     return subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
 
 
-def test_the_bad_day_keeps_every_rule_on_two_seeds(tmp_path: Path) -> None:
-    """At half the demo's rate, two at a time; a day on which the machine was too busy to judge is played again alone."""
+def test_the_demo_scenario_keeps_every_rule_on_two_seeds(tmp_path: Path) -> None:
+    """At about half the demo's rate, two at a time; a run that exhausted resources kept from judging is repeated alone."""
     path = tmp_path / "day.jsonnet"
     path.write_text(f"(import '{DAY}') + {{ clients+: {{ rate: 40 }} }}")
     runs = {seed: start_scenario(path, seed, tmp_path / str(seed)) for seed in (1, 2)}
@@ -298,10 +296,10 @@
         assert "Every rule was kept." in page and "<svg" in page
 
 
-# A machine that was late, and a node that was.
+# Lateness of the machine and of the node.
 
 
-def test_time_waited_is_drawn_between_looks_and_never_more_than_passed() -> None:
+def test_waiting_time_is_interpolated_between_samples_and_at_most_the_elapsed_time() -> None:
     waits = Waits([(1_000, 0), (2_000, 0), (3_000, 500), (4_000, 9_000)])
     assert waits.held(1_000, 2_000) == 0 and waits.held(2_000, 2_500) == 250 and waits.held(1_500, 3_000) == 500
     assert waits.held(3_000, 3_500) == 500 and waits.held(0, 1_000) == 0 and waits.held(5_000, 6_000) == 0
@@ -310,7 +308,7 @@
 
 
 @pytest.mark.parametrize("waited, broken", [(0, True), (250, True), (600, False)])
-def test_a_machine_that_held_an_answer_up_is_no_breach_of_the_node(waited: int, broken: bool) -> None:
+def test_an_answer_delayed_by_the_machine_is_no_breach_of_the_node(waited: int, broken: bool) -> None:
     ms = 1_000_000
     late = Seen(number=1, cls="c", how="plain", behaviour="normal", retry=0, worth=1.0, sent=0, deadline=1_000 * ms,
                 head=1_700 * ms, end=1_700 * ms, ended="served", request="q", status=200)  # fmt: skip
@@ -319,7 +317,7 @@
     assert [b.rule for b in verdict.breaches] == ([1] if broken else [])
 
 
-def test_a_machine_that_runs_what_stands_ready_is_waited_for_no_longer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_waiting_for_processors_ends_once_runnable_work_runs(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(pulse, "PROBE", 0.02)
     used = iter(n * 0.001 for n in range(1_000))
     monkeypatch.setattr(time, "thread_time", lambda: next(used))
@@ -329,8 +327,8 @@
     assert pulse.wait_for_processors(0.2)
 
 
-def test_what_the_host_took_of_many_processors_at_once_is_not_added_up() -> None:
-    """Nothing runs on two processors at a time: the most of any one counts."""
+def test_stolen_time_of_several_processors_is_not_summed() -> None:
+    """A thread runs on one processor at a time: the maximum of any processor counts."""
     pressure = Waits([(0, 0), (1_000, 100)])
     stolen = tuple(Waits([(0, 0), (1_000, taken)]) for taken in (50, 300, 200))
     both = MachineWaits(pressure, stolen)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Fleets of real node processes under faults, judged from what passed on the sockets."""
+"""Real node processes under faults, judged from what passed on the sockets."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 
 
 def timeline_of(result: Result, folder: Path) -> str:
-    """The timeline of what went wrong, for the assertion's text."""
+    """The timeline of the violations, as the text of a failed assertion."""
     report.write_timeline(result, SMALL, folder)
     return (folder / report.TIMELINE_FILE).read_text("utf-8")[:8_000]
 
 
 @pytest.mark.parametrize("kind", [FaultKind.ROLE_SILENT, FaultKind.KEPT_SILENT])
-def test_nothing_stays_held_while_most_decode_engines_are_silent(kind: FaultKind, tmp_path: Path) -> None:
-    """The incident: bytes are taken by the kernel and reach nobody."""
+def test_no_state_leaks_while_most_decode_engines_are_silent(kind: FaultKind, tmp_path: Path) -> None:
+    """The first incident: the kernel accepts the bytes, but they reach no engine."""
     faults = [Fault(1.2, 3.8, kind, ("w0", "w1", "w2"))]
     result = run_with_retries(lambda: SeedRun(1, SMALL, tmp_path / "play", faults))
     assert result.passed, timeline_of(result, tmp_path / "play")
     assert result.served_share > 0.5
 
 
-def test_nothing_stays_held_while_most_prefill_engines_are_silent(tmp_path: Path) -> None:
+def test_no_state_leaks_while_most_prefill_engines_are_silent(tmp_path: Path) -> None:
     """The second incident: a decode engine answers 200 for a reservation, whatever became of the prefill attempt."""
     faults = [Fault(1.2, 3.8, FaultKind.ROLE_SILENT, ("r0", "r1", "r2"))]
     pinned = {**MOST_HELPFUL, Unspecified.RESERVATION_REPLY: Reply.HELD}
@@ -52,8 +52,8 @@
     assert result.served_share > 0.5
 
 
-def test_what_a_prefill_attempt_leaves_after_it_was_given_up_is_released(tmp_path: Path) -> None:
-    """Three of four prefill engines stand still and then act on what lies in their buffers."""
+def test_the_state_of_a_cancelled_prefill_is_released(tmp_path: Path) -> None:
+    """Three of four prefill engines are silent and then process the requests in their buffers."""
     faults = [Fault(1.2, 2.5, FaultKind.ROLE_SILENT, ("r0", "r1", "r2"))]
     pinned = {**MOST_HELPFUL, Unspecified.GIVEN_UP: True}
     result = run_with_retries(lambda: SeedRun(2, SMALL, tmp_path / "play", faults, pinned=pinned))
@@ -62,15 +62,15 @@
 
 
 @pytest.mark.parametrize("unspecified", list(Unspecified), ids=lambda unspecified: unspecified.name.lower())
-def test_no_assumption_about_engines_is_needed(unspecified: Unspecified, tmp_path: Path) -> None:
-    """Engines at their least helpful on one sentence of the page at a time, and the node as it is."""
+def test_the_node_needs_no_assumption_about_unspecified_behaviour(unspecified: Unspecified, tmp_path: Path) -> None:
+    """Engines choose the least helpful behaviour for one statement of the page at a time."""
     for choice in LEAST_HELPFUL[unspecified]:
         faults = [Fault(0.8, 2.2, FaultKind.ROLE_SILENT, ("r0", "w0")), HANGS_LATE]
         result = run_with_retries(lambda: SeedRun(9, SHORT, tmp_path / "play", faults, pinned={unspecified: choice}))  # noqa: B023
         assert result.passed, timeline_of(result, tmp_path / "play")
 
 
-def test_what_the_page_leaves_open_is_drawn_from_the_seed_and_pinned_by_name() -> None:
+def test_unspecified_behaviour_is_drawn_from_the_seed_and_pinned_by_name() -> None:
     drawn = [
         [each.reservation(f"q{n}") for n in range(200)]
         for each in (EngineBehaviour(1), EngineBehaviour(1), EngineBehaviour(2))
@@ -86,8 +86,8 @@
         EngineBehaviour(1, {Unspecified.TURNED_AWAY: 500})
 
 
-def test_a_crowd_that_says_nothing_takes_no_clients_place(tmp_path: Path) -> None:
-    """More connections than the node has for its clients, opened anew as it closes them, through its drain too."""
+def test_idle_connections_do_not_displace_clients(tmp_path: Path) -> None:
+    """More connections than the node admits, opened again when it closes them, also during its drain."""
     faults = [Fault(0.5, 3.3, FaultKind.CROWD, (), 0, amount=400), Fault(2.0, 0.1, FaultKind.TERM, (), 0)]
     two = replace(SHORT, nodes=2)
     result = run_with_retries(
@@ -99,7 +99,7 @@
     assert result.served_share > 0.9
 
 
-def test_a_play_that_serves_hardly_anybody_is_a_finding(tmp_path: Path) -> None:
+def test_a_run_that_serves_few_requests_fails(tmp_path: Path) -> None:
     run = SeedRun(5, SHORT, tmp_path / "play", client_settings=USUAL, pinned=MOST_HELPFUL)
     run.faults = [Fault(0.1, 4.0, FaultKind.ROLE_SILENT, ("w0", "w1", "w2"))]
     result = run.run()
@@ -116,14 +116,14 @@
 
 @dataclass(frozen=True)
 class Broken:
-    """A node made to break one invariant: lines of one of its files replaced, and the faults that show it."""
+    """A mutated node that violates one invariant: the replaced lines of a file, and the faults that expose it."""
 
     invariant: int
     file: str
-    lines: tuple[tuple[str, str], ...]  # what stands there once, and what stands there instead
+    lines: tuple[tuple[str, str], ...]  # (text that occurs once, its replacement)
     faults: tuple[Fault, ...] = ()
     clients: Clients = USUAL
-    names_itself: bool = True  # the node's own check names it too
+    node_reports: bool = True  # whether the node's own check reports it as well
     pinned: Mapping[Unspecified, object] = field(default_factory=lambda: MOST_HELPFUL)
 
 
@@ -135,7 +135,7 @@
 BROKEN = [
     Broken(3, "logic.py", (
         ("        if not self._must_release(request):\n            return\n", "        return\n"),), (SILENT,)),
-    Broken(3, "edge/engines.py", (("if self.abandoned is None or", "if True or"),), (STILL,), names_itself=False,
+    Broken(3, "edge/engines.py", (("if self.abandoned is None or", "if True or"),), (STILL,), node_reports=False,
            pinned={**MOST_HELPFUL, Unspecified.GIVEN_UP: True}),
     Broken(2, "logic.py", (
         ("request.class_settings.effect is Effect.SAFE:\n            return True\n        first =",
@@ -144,22 +144,22 @@
         ("    def _handle_disconnect(self, now: int) -> None:\n",
          "    def _handle_disconnect(self, now: int) -> None:\n        return\n"),
         ("client_left, engine_closed = self._client_left(), not", "client_left, engine_closed = False, not")), (SLOW,),
-        msgspec.structs.replace(USUAL, leave_early=1.0), names_itself=False),
+        msgspec.structs.replace(USUAL, leave_early=1.0), node_reports=False),
     Broken(7, "edge/engines.py", (
         ("time_left = request.body.deadline - self._clock()\n",
          "time_left = request.body.deadline - self._clock() + 2_000_000_000\n"),)),
     Broken(1, "edge/sink.py", (("case ports.Failed(why):\n", "case ports.Failed(why) if why == 0:\n"),), (HANGS,),
-           names_itself=False),
+           node_reports=False),
     Broken(8, "edge/sink.py", (
         ("        self.connection.write(data)\n",
-         "        __import__('time').sleep(0.4)\n        self.connection.write(data)\n"),), names_itself=False),
-    Broken(9, "edge/serve.py", (("        self.pool.prune()\n", "        os._exit(3)\n"),), names_itself=False),
+         "        __import__('time').sleep(0.4)\n        self.connection.write(data)\n"),), node_reports=False),
+    Broken(9, "edge/serve.py", (("        self.pool.prune()\n", "        os._exit(3)\n"),), node_reports=False),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize("broken", BROKEN, ids=lambda broken: f"{broken.invariant}-{broken.file}")
-def test_a_node_made_to_break_an_invariant_is_named(broken: Broken, tmp_path: Path) -> None:
-    """Negative controls: of the oracle, and of the node's own checks."""
+def test_a_node_that_violates_an_invariant_is_reported(broken: Broken, tmp_path: Path) -> None:
+    """Negative controls of the oracle and of the node's own checks."""
     program = tmp_path / "program"
     shutil.copytree(ROOT / "stonetrack", program / "stonetrack", ignore=shutil.ignore_patterns("__pycache__"))
     path = program / "stonetrack" / broken.file
@@ -174,14 +174,18 @@
                        program=program, pinned=broken.pinned)  # fmt: skip
 
     def is_reported(result: Result) -> bool:
-        itself = any(f"INVARIANT {broken.invariant} " in v.text for v in result.violations if v.invariant == 0)
-        return broken.invariant in {v.invariant for v in result.violations} and (itself or not broken.names_itself)
+        reported_by_node = any(
+            f"INVARIANT {broken.invariant} " in v.text for v in result.violations if v.invariant == 0
+        )
+        return broken.invariant in {v.invariant for v in result.violations} and (
+            reported_by_node or not broken.node_reports
+        )
 
     result = run_with_retries(create_run, expected=is_reported)
     assert is_reported(result), timeline_of(result, tmp_path / "play")
 
 
-def test_the_same_play_without_the_broken_line_is_green(tmp_path: Path) -> None:
+def test_the_same_run_of_an_unchanged_node_passes(tmp_path: Path) -> None:
     result = run_with_retries(
         lambda: SeedRun(7, SHORT, tmp_path / "play", [SILENT, RESETS, STILL], client_settings=USUAL)
     )
@@ -192,19 +196,19 @@
     prefill, decode = ["r0", "r1", "r2"], ["w0", "w1", "w2", "w3"]
     faults = draw_faults(5, 20.0, 10, prefill, decode)
     assert faults == draw_faults(5, 20.0, 10, prefill, decode) != draw_faults(6, 20.0, 10, prefill, decode)
-    plays = [draw_faults(seed, 20.0, 10, prefill, decode) for seed in range(200)]
-    assert {fault.kind for each in plays for fault in each} == set(FaultKind)
-    assert {fault.engine_fault for each in plays for fault in each} >= set(EngineFault)
-    assert all(fault.at >= 1.5 and fault.at + fault.seconds <= 20.0 for each in plays for fault in each)
-    overlap = [any(b.at < a.at + a.seconds for a, b in zip(each, each[1:], strict=False)) for each in plays]
+    runs = [draw_faults(seed, 20.0, 10, prefill, decode) for seed in range(200)]
+    assert {fault.kind for each in runs for fault in each} == set(FaultKind)
+    assert {fault.engine_fault for each in runs for fault in each} >= set(EngineFault)
+    assert all(fault.at >= 1.5 and fault.at + fault.seconds <= 20.0 for each in runs for fault in each)
+    overlap = [any(b.at < a.at + a.seconds for a, b in zip(each, each[1:], strict=False)) for each in runs]
     assert sum(overlap) > 190
 
 
 @pytest.mark.parametrize("text", ["", "x", "1:x", "5:5", "7:3", ":4"])
-def test_seeds_that_can_not_be_used_are_refused(text: str) -> None:
+def test_invalid_seeds_are_refused(text: str) -> None:
     done = CliRunner().invoke(soak, ["--seeds", text, "--report", "unused"])
     assert done.exit_code == 2 and "allowed: " in done.output
 
 
-def test_seeds_are_given_as_a_range_or_alone() -> None:
+def test_seeds_are_a_range_or_a_single_number() -> None:
     assert list(parse_seeds("3:6")) == [3, 4, 5] and list(parse_seeds("9")) == [9]
