--- a/stonetrack/cli/soak.py
+++ b/stonetrack/cli/soak.py
@@ -51,13 +51,13 @@
     "--seconds", type=click.FloatRange(4.0, 600.0), default=20.0, show_default=True, help="Length of the load."
 )
 @click.option("--rate", type=click.FloatRange(1.0, 500.0), default=60.0, show_default=True, help="Requests a second.")
-@click.option("--jobs", type=click.IntRange(1, 16), default=1, show_default=True, help="Seeds played side by side.")
-@click.option("--trace", is_flag=True, help="Nodes log every call of the router; logs of all seeds stay.")
+@click.option("--jobs", type=click.IntRange(1, 16), default=1, show_default=True, help="Seeds run in parallel.")
+@click.option("--trace", is_flag=True, help="Nodes log every call of the router; logs of all seeds are kept.")
 @click.option(
     "--report", type=click.Path(file_okay=False, path_type=Path), required=True, help="Folder for what failed."
 )
 def soak(seeds: str, nodes: int, seconds: float, rate: float, jobs: int, trace: bool, report: Path) -> None:
-    """Play fleets of real nodes under drawn faults, judged by the invariants; exit code 1 where a seed failed."""
+    """Run fleets of real nodes under drawn faults, judged by the invariants; exit code 1 if a seed failed."""
     from stonetrack.soak.run import RunSize
 
     size = RunSize(nodes=nodes, seconds=seconds, rate=rate)
