--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,11 +1,12 @@
-"""Histories of versions under random faults: who decided on which, by engines' taps, by links, and by the audit.
+"""Histories of settings versions under random faults: who decided with which, by engines' taps, links and the audit.
 
 .venv/bin/python -m benchmarks.versions [--nodes 12] [--seeds 20] [--first 1] [--side-by-side 3]
 
-Each history publishes versions of the settings while nodes are killed, stopped, lose their disks or get old copies back, the
-control service dies and is cut off.  Three judgements: no request taken after a permit ran out, no decision by an older
-version than the node's last (but where its disk went back), and the audit: for 1,000 attempts drawn from the taps, what
-the nodes' accounts say they were decided with.  The audit may say that it does not know; it must not say something else.
+Each history publishes versions of the settings while nodes are killed, stopped, lose their disks or get old copies back,
+and the control service is killed and partitioned.  Three checks: no request is taken after a lease has expired; no
+decision uses an older version than the node's last (except where its disk went back); and the audit, which compares
+1,000 attempts drawn from the taps with the versions in the nodes' audit logs.  The audit may answer that it does not
+know; it must not answer with another version.
 """
 
 from __future__ import annotations
@@ -28,29 +29,31 @@
 from stonetrack.fleet.script import parse_script
 
 SECOND = 1_000_000_000
-DRAWN = 1_000
-REST = 10.0  # seconds at the end without faults
+SAMPLED_ATTEMPTS = 1_000
+QUIET_END_S = 10.0  # without faults
 
 
 def script(nodes: int, seed: int) -> str:
-    """A history drawn by the seed."""
-    draw = random.Random(f"versions/{seed}")
+    """Return the script of a history drawn from the seed."""
+    rng = random.Random(f"versions/{seed}")
     begin = 6.0 + nodes / 5.0
     end = begin + 20.0
-    published = [{"at": at, "content": {"routing": {"over_share_worth": draw.random()}}, "term": 1}
-                 for at in sorted(draw.uniform(begin, end) for _ in range(6))]  # fmt: skip
+    published = [{"at": at, "content": {"routing": {"over_share_worth": rng.random()}}, "term": 1}
+                 for at in sorted(rng.uniform(begin, end) for _ in range(6))]  # fmt: skip
     faults: list[dict[str, Any]] = [{"what": "keep_state", "to": "n*", "at": begin}]
     for _ in range(8):
-        what = draw.choice(["kill", "stop", "stop", "lose_state", "old_state", "cut", "cut_back", "kill control"])
-        at, lasts = draw.uniform(begin, end - 3.0), draw.uniform(0.3, 5.0)
+        what = rng.choice(["kill", "stop", "stop", "lose_state", "old_state", "cut", "cut_back", "kill control"])
+        at, duration = rng.uniform(begin, end - 3.0), rng.uniform(0.3, 5.0)
         if what == "kill control":
-            faults.append({"what": "kill", "to": "control", "at": at, "for_s": min(lasts, 2.0)})
+            faults.append({"what": "kill", "to": "control", "at": at, "for_s": min(duration, 2.0)})
         elif what.startswith("cut"):
-            faults.append({"what": what, "to": "control", "of": f"n{draw.randrange(nodes)}", "at": at, "for_s": lasts})
+            faults.append(
+                {"what": what, "to": "control", "of": f"n{rng.randrange(nodes)}", "at": at, "for_s": duration}
+            )
         else:
-            faults.append({"what": what, "to": f"n{draw.randrange(nodes)}", "at": at, "for_s": lasts})
+            faults.append({"what": what, "to": f"n{rng.randrange(nodes)}", "at": at, "for_s": duration})
     return json.dumps({
-        "name": f"versions, seed {seed}", "seconds": end + REST, "nodes": nodes, "listed": 0,
+        "name": f"versions, seed {seed}", "seconds": end + QUIET_END_S, "nodes": nodes, "listed": 0,
         "start_within_ms": 100 * nodes, "load_from": begin, "lists": {"lists_per_second": 100.0, "waiting": 400.0},
         "engines": [{"name": f"{role[0]}{n}", "role": role} for role in ("reader", "writer") for n in range(3)],
         "node": {"audit": {"dir": "audit", "every_ms": 1_000}, "control": {"steps_out": True}},
@@ -62,29 +65,31 @@
 
 
 def audited(made: Played, folder: Path, nodes: int, seed: int) -> dict[str, int]:
-    """What the accounts say of drawn attempts, against the taps."""
-    accounts: dict[str, ChainReading] = {
+    """Compare the audit logs' versions of sampled attempts with those of the taps."""
+    logs: dict[str, ChainReading] = {
         f"n{n}-0": read_log(folder / f"n{n}" / "state" / "audit", f"n{n}-0") for n in range(nodes)
     }
     taps = [json.loads(line) for line in (folder / "engines.log").read_text().splitlines()]
-    marked = [r for r in taps if r["what"] == "request" and "acting" in r]
-    lost = {str(f["to"]) for f in made.log if f["what"] == "fault" and f["fault"] in ("lose_state", "old_state")}
+    with_version = [r for r in taps if r["what"] == "request" and "acting" in r]
+    disk_changed = {
+        str(f["to"]) for f in made.log if f["what"] == "fault" and f["fault"] in ("lose_state", "old_state")
+    }
     found = dict.fromkeys(("asked", "right", "unknown", "unknown, disk lost", "wrong"), 0)
-    for record in random.Random(seed).sample(marked, min(DRAWN, len(marked))):
+    for record in random.Random(seed).sample(with_version, min(SAMPLED_ATTEMPTS, len(with_version))):
         settings = record["acting"].partition("/")[0]
-        spans = [s for s in accounts[record["instance"]].spans if s.may_contain(record["id"])]
+        spans = [s for s in logs[record["instance"]].spans if s.may_contain(record["id"])]
         found["asked"] += 1
         if any(s.acting.settings == settings for s in spans):
             found["right"] += 1
         elif not spans:
-            found["unknown, disk lost" if record["instance"].rpartition("-")[0] in lost else "unknown"] += 1
+            found["unknown, disk lost" if record["instance"].rpartition("-")[0] in disk_changed else "unknown"] += 1
         else:
             found["wrong"] += 1
     return found
 
 
-def one(case: tuple[int, int]) -> tuple[dict[str, float], list[str]]:
-    """One history."""
+def play_history(case: tuple[int, int]) -> tuple[dict[str, float], list[str]]:
+    """Play one history; return its figures and examples of violations."""
     nodes, seed = case
     with tempfile.TemporaryDirectory(prefix="versions-") as name:
         folder = Path(name) / "play"
@@ -123,18 +128,18 @@
 @click.option("--first", default=1)
 @click.option("--side-by-side", "side", default=3)
 def main(nodes: int, seeds: int, first: int, side: int) -> None:
-    """See the module."""
+    """Play the histories and print their figures."""
     cases = [(nodes, seed) for seed in range(first, first + seeds)]
-    told: list[dict[str, float]] = []
+    results: list[dict[str, float]] = []
     with ProcessPoolExecutor(side, mp_context=get_context("spawn")) as pool:
-        for (_, seed), (found, said) in zip(cases, pool.map(one, cases), strict=True):
-            told.append(found)
+        for (_, seed), (found, said) in zip(cases, pool.map(play_history, cases), strict=True):
+            results.append(found)
             click.echo(f"seed {seed}: " + ", ".join(f"{k} {v:.0f}" for k, v in found.items()))
             for line in said:
                 click.echo(f"  {line}")
-    click.echo(f"{len(told)} histories of {nodes} nodes: sum, worst history")
-    for name in told[0]:
-        values = [each[name] for each in told]
+    click.echo(f"{len(results)} histories of {nodes} nodes: sum, worst history")
+    for name in results[0]:
+        values = [each[name] for each in results]
         click.echo(f"{name:<36}{sum(values):>10.0f}{max(values):>8.0f}{statistics.median(values):>8.0f} (median)")
 
 
--- a/stonetrack/audit/__init__.py
+++ b/stonetrack/audit/__init__.py
@@ -1,6 +1,6 @@
-"""The audit: which node decided which request on which version, and whether its account of that is whole.
+"""The audit log: which node made which decision with which version, and whether its record of that is complete.
 
-Inputs: decisions as they fall, with the acting version of their moment (:mod:`.account`).  Outputs: spans chained by
-hash, what is wrong with a chain (:mod:`.chain`), answers that say how complete they are.  Must not depend on: routing;
-a node decides the same with and without an account.
+Inputs: decisions as they are made, each with the version acting at that moment (:mod:`.audit_log`).  Outputs: spans in
+a hash chain, defects of a chain (:mod:`.hash_chain`), answers that state how complete they are.  Must not depend on:
+routing; a node makes the same decisions with and without an audit log.
 """
--- a/stonetrack/audit/collection_schedule.py
+++ b/stonetrack/audit/collection_schedule.py
@@ -1,8 +1,9 @@
-"""When the collector asks which node, so that hundreds are asked evenly and none in step.  No I/O.
+"""When the collector polls which node, so that polls of hundreds of nodes are spread evenly.  No I/O.
 
-Each node has a moment of its own within the period, drawn once from the seed; a node that has more to tell is asked
-again at once, one that fails at its moment in the next period.  Over all nodes no two questions are closer than
-``1 / per_second``.  A node is behind by at most a period, and by how much is known (``until`` of what it told last).
+Each node is polled at its own offset within the period, drawn once from the seed.  A node that has more lines is polled
+again at once, one whose poll failed at its offset in the next period.  Over all nodes, polls are at least
+``1 / per_second`` apart.  What is collected of a node is at most a period old, and its age is known (``until`` of the
+last span collected).
 """
 
 from __future__ import annotations
@@ -16,44 +17,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
-    """Ask this node, not before a time in nanoseconds."""
+class Poll:
+    """A poll of a node, not before a time in nanoseconds."""
 
     node: str
     at: int
 
 
 class CollectionSchedule:
-    """See the module; ``every`` in nanoseconds."""
+    """The polls of all nodes; ``period`` in nanoseconds."""
 
-    def __init__(self, nodes: Iterable[str], every: int, per_second: float, now: int, seed: int = 0) -> None:
-        draw = random.Random(seed)
-        self._every, self._gap = every, int(SECOND / per_second)
+    def __init__(self, nodes: Iterable[str], period: int, per_second: float, now: int, seed: int = 0) -> None:
+        rng = random.Random(seed)
+        self._period, self._gap = period, int(SECOND / per_second)
         self._due: list[tuple[int, int, str]] = []
         self._order = 0
-        self._free = now
-        self._asked: dict[str, int] = {}
+        self._next_free = now
+        self._scheduled: dict[str, int] = {}  # of polls under way
         for node in nodes:
-            self._put(now + int(draw.random() * every), node)
+            self._push(now + int(rng.random() * period), node)
 
-    def _put(self, at: int, node: str) -> None:
+    def _push(self, at: int, node: str) -> None:
         self._order += 1
         heapq.heappush(self._due, (at, self._order, node))
 
-    def next(self) -> Question | None:
-        """The next question; None while every node's is under way.  It counts as put from now on."""
+    def next(self) -> Poll | None:
+        """Return the next poll, which then counts as under way; None while every node's is under way."""
         if not self._due:
             return None
         at, _, node = heapq.heappop(self._due)
-        self._asked[node] = at
-        self._free = max(self._free, at) + self._gap
-        return Question(node, self._free - self._gap)
+        self._scheduled[node] = at
+        self._next_free = max(self._next_free, at) + self._gap
+        return Poll(node, self._next_free - self._gap)
 
     def ended(self, node: str, now: int, more: bool) -> None:
-        """A question's end; ``more`` where the node has more to tell than fitted."""
-        was = self._asked.pop(node)
+        """Handle the end of a poll; ``more`` is whether the node has more lines than the answer held."""
+        scheduled = self._scheduled.pop(node)
         if more:
-            self._put(now, node)
+            self._push(now, node)
             return
-        behind = max(0, now - was) // self._every  # a collector that was stopped does not catch up on its questions
-        self._put(was + (behind + 1) * self._every, node)
+        missed = max(0, now - scheduled) // self._period  # a suspended collector does not repeat the polls it missed
+        self._push(scheduled + (missed + 1) * self._period, node)
--- a/stonetrack/audit/hash_chain.py
+++ b/stonetrack/audit/hash_chain.py
@@ -1,12 +1,11 @@
-"""Spans chained by hash, a line each, and what a reader finds wrong with a chain.  No I/O.
+"""Spans in a hash chain, one per line, and the defects that a reader finds in a chain.  No I/O.
 
-A line is ``HASH JSON``; the hash is that of the line before and the JSON, so that a line that is missing, changed or
-moved shows, and all lines after a change with it.  The first line of a process names the hash it found on disk; one
-that found nothing begins at ``0``: a lost disk.  A copy of a disk put back shows as a second line after one that had
-another.
+A line is ``HASH JSON``; the hash covers the previous line's hash and the JSON, so a missing, changed or moved line
+shows, as do all lines after a change.  The first line of a process names the last hash on its disk, or ``0`` where
+there is none: the disk was lost.  A restored copy of a disk shows as a second line that follows the same line.
 
-What a chain can't show: that its end was cut off, or its beginning beyond what retention takes (``begins`` tells where
-it stands).  That shows at whoever had heard of other lines (the collector).
+A chain cannot show that its end was cut off, or its beginning beyond what retention removes (``begins`` says where it
+starts).  Another party that has read those lines can: the collector.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """What a line holds: its number in the chain, the hash before it, the span."""
+    """Content of a line: its number in the chain, the hash of the line before, the span."""
 
     number: int
     before: str
@@ -32,7 +31,7 @@
 
 
 class ChainDefect(Enum):
-    """What may be wrong at a line."""
+    """A defect at a line.  The values are printed; the names are stored by the collector."""
 
     TORN = "the last line is not whole"
     CHANGED = "the line is not what was written"
@@ -43,17 +42,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that is wrong, at a line (from 1)."""
+    """One defect, at a line (from 1)."""
 
     line: int
-    wrong: ChainDefect
+    defect: ChainDefect
 
 
 def encode_line(number: int, before: str, span: Span) -> tuple[bytes, str]:
-    """The line of a span, and its hash."""
+    """Return the line of a span and its hash."""
     body = msgspec.json.encode(Entry(number, before, span))
-    made = _hash(before, body)
-    return made.encode() + b" " + body + b"\n", made
+    digest = _hash(before, body)
+    return digest.encode() + b" " + body + b"\n", digest
 
 
 def _hash(before: str, body: bytes) -> str:
@@ -62,30 +61,30 @@
 
 @dataclass(frozen=True, slots=True)
 class ChainReading:
-    """What a reader makes of lines: the spans that are sound, in order, what is wrong, and where the chain ends."""
+    """Result of reading lines: the valid spans in order, the defects, and the end of the chain."""
 
     spans: tuple[Span, ...]
     findings: tuple[Finding, ...]
     number: int  # of the next line
-    last: str  # hash of the last sound one
-    begins: int = 0  # number of the first line there is; older ones have been let go
+    last: str  # hash of the last valid line
+    begins: int = 0  # number of the first line present; retention has removed older ones
 
     @property
     def intact(self) -> bool:
         """Whether nothing is missing that a chain can show."""
-        return not any(f.wrong is not ChainDefect.TORN for f in self.findings)
+        return not any(f.defect is not ChainDefect.TORN for f in self.findings)
 
 
 def read_chain(lines: Iterable[bytes], number: int = 0, last: str = START) -> ChainReading:
     """Follow a chain over its lines, those of several files in order; a file may be cut anywhere.
 
-    ``number`` and ``last`` are where a reader that goes on had come to."""
+    A reader that continues passes the ``number`` and ``last`` of its previous result."""
     spans: list[Span] = []
     findings: list[Finding] = []
     begins = number if last != START else -1
     seen = {START, last}
     for n, raw in enumerate(lines, 1):
-        entry, made = _entry(raw)
+        entry, digest = _decode_line(raw)
         if entry is None:
             findings.append(Finding(n, ChainDefect.TORN if not raw.endswith(b"\n") else ChainDefect.CHANGED))
             continue
@@ -99,18 +98,18 @@
         elif entry.number != number:
             findings.append(Finding(n, ChainDefect.GAP))
         spans.append(entry.span)
-        number, last = entry.number + 1, made
-        seen.add(made)
+        number, last = entry.number + 1, digest
+        seen.add(digest)
     return ChainReading(tuple(spans), tuple(findings), number, last, max(0, begins))
 
 
-def _entry(raw: bytes) -> tuple[Entry | None, str]:
-    told, space, body = raw.rstrip(b"\n").partition(b" ")
+def _decode_line(raw: bytes) -> tuple[Entry | None, str]:
+    stated, space, body = raw.rstrip(b"\n").partition(b" ")
     if not space or not raw.endswith(b"\n"):
         return None, ""
     try:
         entry = msgspec.json.decode(body, type=Entry)
-        made = told.decode("ascii")
+        digest = stated.decode("ascii")
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None, ""
-    return (entry, made) if _hash(entry.before, body) == made else (None, "")
+    return (entry, digest) if _hash(entry.before, body) == digest else (None, "")
--- a/stonetrack/audit/queries.py
+++ b/stonetrack/audit/queries.py
@@ -1,4 +1,4 @@
-"""What accounts answer, and how complete each answer is.  No I/O."""
+"""Queries over audit logs, and how complete each answer is.  No I/O."""
 
 from __future__ import annotations
 
@@ -11,70 +11,70 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """What an answer rests on: nodes whose accounts are whole and reach so far, and those that lack something."""
+class Coverage:
+    """The data behind an answer: the number of nodes, and the nodes whose audit logs lack something."""
 
     nodes: int
     lacking: dict[str, str]  # node: what is missing
 
     def __str__(self) -> str:
         if not self.lacking:
-            return f"complete: {self.nodes} accounts, all whole and far enough"
-        few = "; ".join(f"{name}: {why}" for name, why in sorted(self.lacking.items())[:10])
-        return f"not complete: {len(self.lacking)} of {self.nodes} accounts lack something ({few})"
+            return f"complete: {self.nodes} audit logs, all intact and recent enough"
+        examples = "; ".join(f"{name}: {why}" for name, why in sorted(self.lacking.items())[:10])
+        return f"not complete: {len(self.lacking)} of {self.nodes} audit logs lack something ({examples})"
 
 
-def known(accounts: Mapping[str, ChainReading], until: int = 0) -> Known:
-    """Whether accounts are whole, and told of all up to a time."""
+def coverage(logs: Mapping[str, ChainReading], until: int = 0) -> Coverage:
+    """Return whether audit logs are intact and reach up to a time."""
     lacking = {}
-    for name, read in accounts.items():
+    for name, read in logs.items():
         ends = read.spans[-1].ended if read.spans else 0
         if not read.intact:
-            lacking[name] = read.findings[0].wrong.value
+            lacking[name] = read.findings[0].defect.value
         elif ends < until:
-            lacking[name] = "nothing was told of the time since" if ends else "nothing was told yet"
-    return Known(len(accounts), lacking)
+            lacking[name] = "no span covers the time since" if ends else "no span was written yet"
+    return Coverage(len(logs), lacking)
 
 
-def at(accounts: Mapping[str, ChainReading], time: int) -> dict[str, list[Span]]:
-    """Each node's spans that stood at a time."""
-    return {name: [s for s in read.spans if s.began <= time <= s.ended] for name, read in accounts.items()}
+def spans_at(logs: Mapping[str, ChainReading], time: int) -> dict[str, list[Span]]:
+    """Return each node's spans that cover a time."""
+    return {name: [s for s in read.spans if s.began <= time <= s.ended] for name, read in logs.items()}
 
 
-def who(accounts: Mapping[str, ChainReading], version: int) -> dict[str, list[Span]]:
-    """The spans of a list's version with any decision in them, by node."""
+def spans_of_version(logs: Mapping[str, ChainReading], version: int) -> dict[str, list[Span]]:
+    """Return the spans with decisions made under a version of the server list, by node."""
     found = {name: [s for s in read.spans if s.acting.version == version and s.counts]
-             for name, read in accounts.items()}  # fmt: skip
+             for name, read in logs.items()}  # fmt: skip
     return {name: spans for name, spans in found.items() if spans}
 
 
-def newest(accounts: Mapping[str, ChainReading]) -> dict[str, ActingVersion]:
-    """The version that each node decided on last."""
+def latest_versions(logs: Mapping[str, ChainReading]) -> dict[str, ActingVersion]:
+    """Return the acting version of each node's last decisions."""
     last: dict[str, ActingVersion] = {}
-    for name, read in accounts.items():
+    for name, read in logs.items():
         for span in read.spans:
             if span.counts or name not in last:
                 last[name] = span.acting
     return last
 
 
-def stale_nodes(accounts: Mapping[str, ChainReading], wanted: int, since: int) -> dict[str, Span]:
-    """The last span of each node that decided anything under an older version of the list after a time."""
-    late: dict[str, Span] = {}
-    for name, read in accounts.items():
+def stale_nodes(logs: Mapping[str, ChainReading], version: int, since: int) -> dict[str, Span]:
+    """Return the last span of each node that made decisions under an older server list after a time."""
+    stale: dict[str, Span] = {}
+    for name, read in logs.items():
         for span in read.spans:
-            if span.counts and span.acting.version < wanted and span.ended > since and span.began >= since:
-                late[name] = span
-    return late
+            if span.counts and span.acting.version < version and span.ended > since and span.began >= since:
+                stale[name] = span
+    return stale
 
 
-def difference(accounts: Mapping[str, ChainReading], one: int, two: int) -> dict[str, tuple[float, float]]:
-    """What was decided under two versions of the list: each kind's share of all decisions, by name."""
-    counts = {version: Counter[str]() for version in (one, two)}
-    for read in accounts.values():
+def action_shares(logs: Mapping[str, ChainReading], first: int, second: int) -> dict[str, tuple[float, float]]:
+    """Return each action's share of all decisions under two versions of the server list, by name of the action."""
+    counts = {version: Counter[str]() for version in (first, second)}
+    for read in logs.values():
         for span in read.spans:
             if span.acting.version in counts:
                 counts[span.acting.version].update(span.counts)
     totals = {version: max(1, sum(each.values())) for version, each in counts.items()}
-    names = sorted({*counts[one], *counts[two]})
-    return {name: (counts[one][name] / totals[one], counts[two][name] / totals[two]) for name in names}
+    names = sorted({*counts[first], *counts[second]})
+    return {name: (counts[first][name] / totals[first], counts[second][name] / totals[second]) for name in names}
--- a/stonetrack/audit/settings.py
+++ b/stonetrack/audit/settings.py
@@ -1,4 +1,4 @@
-"""The collector's settings: a Jsonnet file, checked like the node's."""
+"""Settings of the collector: a Jsonnet file, checked like the node's."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from stonetrack.settings.schema import Strict
 
 
-class Collect(Strict, frozen=True, kw_only=True):
+class CollectorSettings(Strict, frozen=True, kw_only=True):
     """All settings of one collector."""
 
-    store: str  # its folder
-    nodes: tuple[str, ...]  # accounts to collect, HOST:PORT/NAME as the node's own account is named
+    store: str  # folder of its store
+    nodes: tuple[str, ...]  # to collect from, HOST:PORT/NAME with NAME as in the file names of the node's audit log
     every_s: Annotated[float, Meta(gt=0.0, le=86_400.0)] = 60.0
-    per_second: Annotated[float, Meta(gt=0.0, le=10_000.0)] = 10.0  # questions over all nodes, at the most
+    per_second: Annotated[float, Meta(gt=0.0, le=10_000.0)] = 10.0  # polls over all nodes, at most
     timeout_s: Annotated[float, Meta(gt=0.0, le=60.0)] = 2.0
     log_level: Annotated[str, Meta(pattern="^(debug|info|warning|error)$")] = "info"
 
 
-def load_collect(path: Path, variables: dict[str, str] | None = None) -> Collect:
-    """Evaluate and check a file.  Raises SettingsError naming path, value and what is allowed."""
-    made = decode(evaluate(path, variables), Collect, str(path))
-    wrong = []
-    for n, node in enumerate(made.nodes):
+def load_collector_settings(path: Path, variables: dict[str, str] | None = None) -> CollectorSettings:
+    """Evaluate and check a file.  Raises SettingsError with path, value and what is allowed."""
+    settings = decode(evaluate(path, variables), CollectorSettings, str(path))
+    problems = []
+    for n, node in enumerate(settings.nodes):
         address, slash, name = node.partition("/")
         if not slash or not name or not address.rpartition(":")[2].isdigit():
-            wrong.append(Problem(f"$.nodes[{n}]", node, "HOST:PORT/NAME"))
-    if len(made.nodes) / made.per_second > made.every_s:
-        wrong.append(Problem("$.per_second", made.per_second, "so many that all nodes are asked within every_s"))
-    if wrong:
-        raise SettingsError(wrong, str(path))
-    return made
+            problems.append(Problem(f"$.nodes[{n}]", node, "HOST:PORT/NAME"))
+    if len(settings.nodes) / settings.per_second > settings.every_s:
+        problems.append(Problem("$.per_second", settings.per_second, "so many that all nodes are asked within every_s"))
+    if problems:
+        raise SettingsError(problems, str(path))
+    return settings
--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -311,7 +311,7 @@
             return None
         return LogWriter(
             audit_folder(settings), self.name, self._boot, self.clock,
-            every=wanted.every_ms * MS, file_bytes=wanted.file_bytes, most_files=wanted.files, log=self._warn
+            max_duration=wanted.every_ms * MS, max_file_bytes=wanted.file_bytes, max_files=wanted.files, log=self._warn
         )  # fmt: skip
 
     def _make_meters(self, settings: Node) -> instance_metrics.InstanceMetrics:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -146,8 +146,8 @@
 
 
 def keeper(folder: Path, logged: list[str], most_files: int = 8, file_bytes: int = 1 << 20) -> log_writer.LogWriter:
-    return log_writer.LogWriter(folder, "n0", "boot", lambda: 0, every=1, file_bytes=file_bytes, most_files=most_files,
-                          log=logged.append)  # fmt: skip
+    return log_writer.LogWriter(folder, "n0", "boot", lambda: 0, max_duration=1, max_file_bytes=file_bytes,
+                                max_files=most_files, log=logged.append)  # fmt: skip
 
 
 def noted(audit_keeper: log_writer.LogWriter, count: int, first: int = 0) -> None:
@@ -163,14 +163,14 @@
     audit_keeper = keeper(tmp_path, logged)
     if step != "folder":  # the very first write creates the file
         noted(audit_keeper, 3)
-        audit_keeper._write(all_of=True)
+        audit_keeper._write(close_all=True)
     noted(audit_keeper, 3, 3)
     with monkeypatch.context() as patched:
         at = FaultAtStep(patched, step, fails(errno.EIO))
-        audit_keeper._write(all_of=True)
+        audit_keeper._write(close_all=True)
         assert at.done and audit_keeper.last_error and len(logged) == 1
     noted(audit_keeper, 3, 6)
-    audit_keeper._write(all_of=True)
+    audit_keeper._write(close_all=True)
     found = log_writer.read_log(tmp_path, "n0")
     assert not audit_keeper.last_error and found.findings == ()
     assert len(log_writer.log_files(tmp_path, "n0")) == 2
@@ -189,7 +189,7 @@
     monkeypatch.setattr(Path, "unlink", refused)
     for n in range(5):
         noted(audit_keeper, 1, n)
-        audit_keeper._write(all_of=True)
+        audit_keeper._write(close_all=True)
     found = log_writer.read_log(tmp_path, "n0")
     assert found.findings == () and not audit_keeper.last_error
 
