--- a/stonetrack/manage/framing.py
+++ b/stonetrack/manage/framing.py
@@ -13,9 +13,9 @@
 
 from enum import Enum
 
-MARK = b"]]>]]>"
-MOST_DIGITS = 10  # of a chunk's size: 1 to 4294967295
-LARGEST = 4_294_967_295
+END_OF_MESSAGE = b"]]>]]>"
+MAX_SIZE_DIGITS = 10  # of a chunk's size: 1 to 4294967295
+MAX_CHUNK_BYTES = 4_294_967_295
 
 
 class FramingError(ValueError):
@@ -29,11 +29,11 @@
     DATA = "data"
 
 
-class Framer:
-    """One direction of a session.  ``most``: bytes of a message."""
+class FrameDecoder:
+    """One direction of a session.  ``max_message_bytes`` bounds a message."""
 
-    def __init__(self, most: int = 16 << 20) -> None:
-        self._most = most
+    def __init__(self, max_message_bytes: int = 16 << 20) -> None:
+        self._most = max_message_bytes
         self._chunked = False
         self._buffer = bytearray()
         self._seen = 0  # bytes of the buffer that hold no mark, as far as is known
@@ -47,7 +47,7 @@
         """Whether nothing of a message has come: an end of the stream is clean here only."""
         return not self._buffer and not self._parts and self._state is _State.HEAD
 
-    def chunked(self) -> None:
+    def enable_chunking(self) -> None:
         """Both sides can 1.1: what comes next is in chunks.  Call between two messages."""
         self._chunked = True
         self._seen = 0
@@ -72,15 +72,15 @@
         return self._next_chunked() if self._chunked else self._next_marked()
 
     def _next_marked(self) -> bytes | None:
-        at = self._buffer.find(MARK, max(0, self._seen - len(MARK) + 1))
-        length = at if at >= 0 else len(self._buffer) - len(MARK) + 1
+        at = self._buffer.find(END_OF_MESSAGE, max(0, self._seen - len(END_OF_MESSAGE) + 1))
+        length = at if at >= 0 else len(self._buffer) - len(END_OF_MESSAGE) + 1
         if length > self._most:
             raise FramingError(f"a message of over {self._most} bytes")
         if at < 0:
             self._seen = len(self._buffer)
             return None
         message = bytes(self._buffer[:at])
-        del self._buffer[: at + len(MARK)]
+        del self._buffer[: at + len(END_OF_MESSAGE)]
         self._seen = 0
         return message
 
@@ -112,22 +112,22 @@
 
     def _head(self) -> int | None:
         """The size of the next chunk, 0 for the end of chunks, None where more bytes are needed."""
-        head = bytes(self._buffer[: MOST_DIGITS + 3])
+        head = bytes(self._buffer[: MAX_SIZE_DIGITS + 3])
         end = head.find(b"\n", 1)
         if not b"\n#".startswith(head[:2]):
             raise FramingError(f"found {head[:2]!r}; allowed: a chunk's beginning, '\\n#'")
         if end < 0:
             digits = head[2:]
-            if len(head) == MOST_DIGITS + 3 or (digits and not self._plausible(digits)):
-                raise FramingError(f"found {digits!r}; allowed: a size of 1 to {LARGEST}, or '#'")
+            if len(head) == MAX_SIZE_DIGITS + 3 or (digits and not self._plausible(digits)):
+                raise FramingError(f"found {digits!r}; allowed: a size of 1 to {MAX_CHUNK_BYTES}, or '#'")
             return None
         digits = head[2:end]
         if digits == b"#":
             size = 0
-        elif self._plausible(digits) and digits != b"#" and 0 < int(digits) <= LARGEST:
+        elif self._plausible(digits) and digits != b"#" and 0 < int(digits) <= MAX_CHUNK_BYTES:
             size = int(digits)
         else:
-            raise FramingError(f"found {digits!r}; allowed: a size of 1 to {LARGEST}, or '#'")
+            raise FramingError(f"found {digits!r}; allowed: a size of 1 to {MAX_CHUNK_BYTES}, or '#'")
         del self._buffer[: end + 1]
         return size
 
@@ -136,19 +136,19 @@
         return digits == b"#" or (digits.isdigit() and digits[:1] != b"0")
 
 
-def marked(message: bytes) -> bytes:
+def frame_delimited(message: bytes) -> bytes:
     """A message in the form of 1.0.  Raises FramingError where it holds the mark."""
-    if MARK in message:
-        raise FramingError(f"the message holds {MARK.decode()}, which only chunks can carry")
-    return message + MARK
+    if END_OF_MESSAGE in message:
+        raise FramingError(f"the message holds {END_OF_MESSAGE.decode()}, which only chunks can carry")
+    return message + END_OF_MESSAGE
 
 
-def in_chunks(message: bytes, largest: int = 65_536) -> bytes:
+def frame_chunked(message: bytes, max_chunk_bytes: int = 65_536) -> bytes:
     """A message in the form of 1.1.  Raises FramingError for an empty one, which the form does not know."""
     if not message:
         raise FramingError("an empty message; allowed: at least one byte")
     parts = []
-    for at in range(0, len(message), largest):
-        part = message[at : at + largest]
+    for at in range(0, len(message), max_chunk_bytes):
+        part = message[at : at + max_chunk_bytes]
         parts += [b"\n#%d\n" % len(part), part]
     return b"".join([*parts, b"\n##\n"])
--- a/stonetrack/manage/messages.py
+++ b/stonetrack/manage/messages.py
@@ -4,8 +4,9 @@
 network, no tree deeper than its own bound; a document type is refused before its tree is looked at.  Namespaces decide
 what an element is, never prefixes (1.2).
 
-What can't be read as an rpc has no message-id to answer to: it is :class:`Malformed`, which a 1.1 session answers with
-``malformed-message`` and a 1.0 session by ending (appendix A).  What is an rpc and wrong is :class:`RpcError`, sent.
+Input that can't be parsed as an rpc has no message-id to reply to and raises :class:`MalformedMessage`: a 1.1 session
+replies with ``malformed-message``, a 1.0 session ends (appendix A).  An invalid rpc raises :class:`RpcError`, which is
+sent as the reply.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 from lxml import etree
 
-BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
+BASE_NS = "urn:ietf:params:xml:ns:netconf:base:1.0"
 BASE_10, BASE_11 = "urn:ietf:params:netconf:base:1.0", "urn:ietf:params:netconf:base:1.1"
-TYPES = ("transport", "rpc", "protocol", "application")
-TAGS = frozenset({
+ERROR_TYPES = ("transport", "rpc", "protocol", "application")
+ERROR_TAGS = frozenset({
     "in-use", "invalid-value", "too-big", "missing-attribute", "bad-attribute", "unknown-attribute", "missing-element",
     "bad-element", "unknown-element", "unknown-namespace", "access-denied", "lock-denied", "resource-denied",
     "rollback-failed", "data-exists", "data-missing", "operation-not-supported", "operation-failed",
@@ -28,24 +29,26 @@
 Element = Any  # lxml's
 
 
-class Malformed(ValueError):
+class MalformedMessage(ValueError):
     """Bytes that are no rpc; the text says why."""
 
 
 @dataclass(eq=False)
 class RpcError(Exception):
-    """One rpc-error.  ``path`` in XPath with the prefixes of ``names``; ``info`` holds elements by name and text."""
+    """One rpc-error.  ``path`` is an XPath with prefixes from ``namespaces``; ``info`` holds names and texts."""
 
-    kind: str
+    error_type: str
     tag: str
     text: str
     path: str = ""
-    names: Mapping[str, str] = field(default_factory=dict)
+    namespaces: Mapping[str, str] = field(default_factory=dict)
     info: tuple[tuple[str, str], ...] = ()
 
     def __post_init__(self) -> None:
-        if self.kind not in TYPES or self.tag not in TAGS:
-            raise ValueError(f"error {self.kind}/{self.tag}; allowed: {', '.join(TYPES)} and the tags of appendix A")
+        if self.error_type not in ERROR_TYPES or self.tag not in ERROR_TAGS:
+            raise ValueError(
+                f"error {self.error_type}/{self.tag}; allowed: {', '.join(ERROR_TYPES)} and the tags of appendix A"
+            )
 
     def __str__(self) -> str:
         return f"{self.tag}: {self.text}"
@@ -64,8 +67,8 @@
         return str(self.operation.tag)
 
 
-def read(data: bytes) -> Element:
-    """The root of a document.  Raises Malformed."""
+def parse_xml(data: bytes) -> Element:
+    """The root of a document.  Raises MalformedMessage."""
     parser = etree.XMLParser(
         resolve_entities=False, no_network=True, load_dtd=False, dtd_validation=False, huge_tree=False,
         remove_comments=True, remove_pis=True, collect_ids=False,
@@ -73,17 +76,17 @@
     try:
         root = etree.fromstring(data, parser)
     except (etree.XMLSyntaxError, ValueError) as error:
-        raise Malformed(f"no XML: {error}") from None
+        raise MalformedMessage(f"no XML: {error}") from None
     if root.getroottree().docinfo.internalDTD is not None:
-        raise Malformed("a document type; allowed: none (RFC 6241, section 3)")
+        raise MalformedMessage("a document type; allowed: none (RFC 6241, section 3)")
     return root
 
 
-def rpc_of(data: bytes) -> Rpc:
-    """The request of a message.  Raises Malformed, or RpcError where it is one and wrong."""
-    root = read(data)
-    if root.tag != f"{{{BASE}}}rpc":
-        raise Malformed(f"found {root.tag}; allowed: rpc in {BASE}")
+def parse_rpc(data: bytes) -> Rpc:
+    """The request of a message.  Raises MalformedMessage, or RpcError where it is one and wrong."""
+    root = parse_xml(data)
+    if root.tag != f"{{{BASE_NS}}}rpc":
+        raise MalformedMessage(f"found {root.tag}; allowed: rpc in {BASE_NS}")
     if "message-id" not in root.attrib:
         raise RpcError("rpc", "missing-attribute", "rpc without message-id",
                        info=(("bad-attribute", "message-id"), ("bad-element", "rpc")))  # fmt: skip
@@ -94,18 +97,18 @@
     return Rpc(dict(root.attrib), found[0])
 
 
-def hello_of(data: bytes) -> frozenset[str]:
-    """The capabilities of a client's hello (8.1).  Raises Malformed: a session without a hello ends."""
-    root = read(data)
-    if root.tag != f"{{{BASE}}}hello":
-        raise Malformed(f"found {root.tag}; allowed: hello in {BASE}")
-    if root.find(f"{{{BASE}}}session-id") is not None:
-        raise Malformed("a client's hello with a session-id")
+def parse_hello(data: bytes) -> frozenset[str]:
+    """The capabilities of a client's hello (8.1).  Raises MalformedMessage: a session without a hello ends."""
+    root = parse_xml(data)
+    if root.tag != f"{{{BASE_NS}}}hello":
+        raise MalformedMessage(f"found {root.tag}; allowed: hello in {BASE_NS}")
+    if root.find(f"{{{BASE_NS}}}session-id") is not None:
+        raise MalformedMessage("a client's hello with a session-id")
     found = frozenset(
-        (each.text or "").strip() for each in root.iterfind(f"{{{BASE}}}capabilities/{{{BASE}}}capability")
+        (each.text or "").strip() for each in root.iterfind(f"{{{BASE_NS}}}capabilities/{{{BASE_NS}}}capability")
     )
     if not found & {BASE_10, BASE_11}:
-        raise Malformed(f"a hello without {BASE_10} or {BASE_11}")
+        raise MalformedMessage(f"a hello without {BASE_10} or {BASE_11}")
     return found
 
 
@@ -114,14 +117,14 @@
 
 
 def _add(parent: Element, name: str, text: str | None = None) -> Element:
-    made = etree.SubElement(parent, f"{{{BASE}}}{name}")
+    made = etree.SubElement(parent, f"{{{BASE_NS}}}{name}")
     made.text = text
     return made
 
 
-def hello(session: int, capabilities: Iterable[str]) -> bytes:
+def server_hello(session: int, capabilities: Iterable[str]) -> bytes:
     """The server's hello."""
-    root = etree.Element(f"{{{BASE}}}hello", nsmap={None: BASE})
+    root = etree.Element(f"{{{BASE_NS}}}hello", nsmap={None: BASE_NS})
     inside = _add(root, "capabilities")
     for each in capabilities:
         _add(inside, "capability", each)
@@ -130,35 +133,35 @@
 
 
 def _reply(attributes: Mapping[str, str]) -> Element:
-    root = etree.Element(f"{{{BASE}}}rpc-reply", nsmap={None: BASE})
+    root = etree.Element(f"{{{BASE_NS}}}rpc-reply", nsmap={None: BASE_NS})
     for name, value in attributes.items():
         root.set(name, value)
     return root
 
 
-def ok(rpc: Rpc) -> bytes:
+def ok_reply(rpc: Rpc) -> bytes:
     """``<ok/>``."""
     root = _reply(rpc.attributes)
     _add(root, "ok")
     return _bytes(root)
 
 
-def answer(rpc: Rpc, elements: Iterable[Element]) -> bytes:
+def data_reply(rpc: Rpc, elements: Iterable[Element]) -> bytes:
     """A reply that holds data."""
     root = _reply(rpc.attributes)
     root.extend(elements)
     return _bytes(root)
 
 
-def errors(attributes: Mapping[str, str], found: Iterable[RpcError]) -> bytes:
+def error_reply(attributes: Mapping[str, str], found: Iterable[RpcError]) -> bytes:
     """A reply of errors; ``attributes`` are those of the request, none where they could not be read."""
     root = _reply(attributes)
     for error in found:
         inside = _add(root, "rpc-error")
-        for name, text in (("error-type", error.kind), ("error-tag", error.tag), ("error-severity", "error")):
+        for name, text in (("error-type", error.error_type), ("error-tag", error.tag), ("error-severity", "error")):
             _add(inside, name, text)
         if error.path:
-            at = etree.SubElement(inside, f"{{{BASE}}}error-path", nsmap=dict(error.names))
+            at = etree.SubElement(inside, f"{{{BASE_NS}}}error-path", nsmap=dict(error.namespaces))
             at.text = error.path
         said = _add(inside, "error-message", _printable(error.text))
         said.set("{http://www.w3.org/XML/1998/namespace}lang", "en")
--- a/stonetrack/manage/model.py
+++ b/stonetrack/manage/model.py
@@ -16,10 +16,10 @@
 from yangson.exceptions import NonexistentInstance, RawDataError, ValidationError, YangsonException
 
 from stonetrack.manage import yang
-from stonetrack.manage.datastore import Refused, Tag
+from stonetrack.manage.datastore import ConfigRejected, Tag
 from stonetrack.settings import Node, SettingsError, parse
 
-MODULES = Path(__file__).parent / "modules"
+MODULES_DIR = Path(__file__).parent / "modules"
 _LIBRARY = {
     "ietf-yang-library:modules-state": {
         "module-set-id": yang.REVISION,
@@ -33,21 +33,21 @@
     """The data model, read once."""
 
     def __init__(self) -> None:
-        self._data = DataModel(json.dumps(_LIBRARY), [str(MODULES)])
+        self._data = DataModel(json.dumps(_LIBRARY), [str(MODULES_DIR)])
 
-    def settings(self, instance: Any) -> Node:
-        """The settings of a configuration as JSON by RFC 7951.  Raises Refused."""
+    def parse_settings(self, instance: Any) -> Node:
+        """The settings of a configuration as JSON by RFC 7951.  Raises ConfigRejected."""
         try:
             made = self._data.from_raw(instance)
             made.validate(ctype=ContentType.config)
         except RawDataError as error:
-            raise Refused(Tag.INVALID_VALUE, str(getattr(error, "path", "")), str(error)) from None
+            raise ConfigRejected(Tag.INVALID_VALUE, str(getattr(error, "path", "")), str(error)) from None
         except (ValidationError, NonexistentInstance) as error:
             path = getattr(getattr(error, "instance", None), "json_pointer", lambda: "")()
-            raise Refused(Tag.OPERATION_FAILED, str(path), str(error)) from None
+            raise ConfigRejected(Tag.OPERATION_FAILED, str(path), str(error)) from None
         except (YangsonException, ValueError, TypeError, AttributeError, KeyError) as error:
-            raise Refused(Tag.INVALID_VALUE, "", f"{type(error).__name__}: {error}") from None
+            raise ConfigRejected(Tag.INVALID_VALUE, "", f"{type(error).__name__}: {error}") from None
         try:
             return parse(json.dumps(yang.from_instance(instance)), "configuration")
         except (SettingsError, ValueError, TypeError, KeyError) as error:
-            raise Refused(Tag.INVALID_VALUE, "", str(error)) from None
+            raise ConfigRejected(Tag.INVALID_VALUE, "", str(error)) from None
--- a/stonetrack/manage/yang.py
+++ b/stonetrack/manage/yang.py
@@ -27,9 +27,9 @@
 NAMESPACE = "urn:stonetrack:router"
 MODULE, PREFIX, REVISION = "stonetrack", "st", "2026-12-01"
 ROOT = "router"
-DIGITS = 6  # after the point
+FRACTION_DIGITS = 6  # after the point
 # Enumerations' and patterns' own words are the types'; these need a word of YANG's.
-MUST = {
+MUST_STATEMENTS = {
     "class": ("deadline-ms >= first-token-ms", "a deadline before the first token's aim"),
     "rule": (
         "max-prompt-tokens = 0 or max-prompt-tokens >= min-prompt-tokens",
@@ -37,9 +37,9 @@
     ),
     "source": ("(file != '') != (url != '')", "either file or url"),
 }
-SINGULAR = {"models": "model", "classes": "class", "kinds": "kind", "rules": "rule", "tenants": "tenant",
+NODE_NAMES = {"models": "model", "classes": "class", "kinds": "kind", "rules": "rule", "tenants": "tenant",
             "key_hashes": "key-hash"}  # fmt: skip
-PATTERNED = {
+YANG_PATTERNS = {
     r"^sha256:[0-9a-f]{64}$": "sha256:[0-9a-f]{64}",
     r"^[A-Za-z0-9._-]*$": "[A-Za-z0-9._-]*",
     "^(debug|info|warning|error)$": "debug|info|warning|error",
@@ -48,7 +48,7 @@
 
 def leaf_name(field: str) -> str:
     """The node's name for a field."""
-    return SINGULAR.get(field, field).replace("_", "-")
+    return NODE_NAMES.get(field, field).replace("_", "-")
 
 
 def _range(low: Any, high: Any, least: str, most: str) -> str:
@@ -66,15 +66,15 @@
             bound = _range(low, high, "0", "max")
             return [f"type {name};"] if (low, high) == (0, None) else [f'type {name} {{ range "{bound}"; }}']
         case inspect.FloatType():
-            least = f"{10**-DIGITS:.{DIGITS}f}" if kind.gt is not None else f"{float(kind.ge or 0.0)}"
+            least = f"{10**-FRACTION_DIGITS:.{FRACTION_DIGITS}f}" if kind.gt is not None else f"{float(kind.ge or 0.0)}"
             most = "max" if kind.le is None else f"{float(kind.le)}"
-            return [f'type decimal64 {{ fraction-digits {DIGITS}; range "{least}..{most}"; }}']
+            return [f'type decimal64 {{ fraction-digits {FRACTION_DIGITS}; range "{least}..{most}"; }}']
         case inspect.StrType(min_length=low, max_length=high, pattern=pattern):
             inner = []
             if low is not None or high is not None:
                 inner.append(f'length "{_range(low, high, "0", "max")}";')
-            if pattern in PATTERNED:
-                inner.append(f'pattern "{PATTERNED[pattern]}";')
+            if pattern in YANG_PATTERNS:
+                inner.append(f'pattern "{YANG_PATTERNS[pattern]}";')
             return [f"type string {{ {' '.join(inner)} }}"] if inner else ["type string;"]
         case inspect.EnumType(cls=cls):
             return ["type enumeration {", *(f'  enum "{each.value}";' for each in cls), "}"]
@@ -134,8 +134,8 @@
 def _body(kind: inspect.StructType, name: str, first: Sequence[str] = (), after: Sequence[str] = ()) -> list[str]:
     """What stands in a container or list, in the canonical order of RFC 7950, section 14."""
     lines = [*first, f'description "{_doc(kind.cls)}";', *after]
-    if name in MUST:
-        test, message = MUST[name]
+    if name in MUST_STATEMENTS:
+        test, message = MUST_STATEMENTS[name]
         lines.insert(0, f'must "{test}" {{ error-message "{message}"; }}')
     keyed = any(f.name == "name" for f in kind.fields)
     for field in kind.fields:
@@ -146,7 +146,7 @@
     return lines
 
 
-STATE = """\
+STATE_CONTAINER = """\
 container state {
   config false;
   description "What the router does (the operational view).";
@@ -189,7 +189,7 @@
         f'revision "{REVISION}" {{ description "First."; }}',
         f"container {ROOT} {{",
         *_indent(_body(node, ROOT)),
-        *_indent(STATE.splitlines()),
+        *_indent(STATE_CONTAINER.splitlines()),
         "}",
     ]
     return "\n".join([f"module {MODULE} {{", *_indent(body), "}"]) + "\n"
@@ -216,7 +216,7 @@
             named = not isinstance(inner, inspect.StructType) or any(f.name == "name" for f in inner.fields)
             return rows if named else [{"position": n, **row} for n, row in enumerate(rows)]
         case inspect.FloatType():
-            return f"{value:.{DIGITS}f}"
+            return f"{value:.{FRACTION_DIGITS}f}"
         case inspect.IntType(le=high):
             return str(value) if high is None or high > 2**32 - 1 else value
         case inspect.EnumType():
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from stonetrack.manage.datastore import Datastores, Edit, Op, Refused, Store, Tag, applied, difference
-from stonetrack.manage.framing import LARGEST, Framer, FramingError, in_chunks, marked
+from stonetrack.manage.datastore import ConfigRejected, Datastores, Edit, Op, Store, Tag, apply_edits, diff_configs
+from stonetrack.manage.framing import MAX_CHUNK_BYTES, FrameDecoder, FramingError, frame_chunked, frame_delimited
 
 # RFC 6242, 4.2: the example's chunks.
 EXAMPLE = (
@@ -23,13 +23,13 @@
 
 
 def test_the_rfcs_example_is_read_as_it_says() -> None:
-    framer = Framer()
-    framer.chunked()
+    framer = FrameDecoder()
+    framer.enable_chunking()
     (message,) = framer.feed(EXAMPLE)
     assert message.startswith(b'<rpc message-id="102"\n     xmlns=') and message.endswith(b"</rpc>") and framer.empty
 
 
-def fed(framer: Framer, stream: bytes, draw: random.Random) -> list[bytes]:
+def fed(framer: FrameDecoder, stream: bytes, draw: random.Random) -> list[bytes]:
     """What comes of a stream that is cut anywhere."""
     found: list[bytes] = []
     while stream:
@@ -44,50 +44,52 @@
 def test_messages_come_out_as_they_went_in_however_they_are_cut(
     messages: list[bytes], size: int, draw: random.Random
 ) -> None:
-    framer = Framer()
-    framer.chunked()
-    assert fed(framer, b"".join(in_chunks(message, size) for message in messages), draw) == messages and framer.empty
+    framer = FrameDecoder()
+    framer.enable_chunking()
+    assert (
+        fed(framer, b"".join(frame_chunked(message, size) for message in messages), draw) == messages and framer.empty
+    )
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.binary(max_size=40).filter(lambda m: b"]" not in m), max_size=5), st.randoms())
 def test_marked_messages_come_out_as_they_went_in(messages: list[bytes], draw: random.Random) -> None:
-    framer = Framer()
-    assert fed(framer, b"".join(map(marked, messages)), draw) == messages and framer.empty
+    framer = FrameDecoder()
+    assert fed(framer, b"".join(map(frame_delimited, messages)), draw) == messages and framer.empty
 
 
 def test_the_form_changes_between_two_messages_of_one_read() -> None:
-    framer = Framer()
-    framer.push(marked(b"<hello/>") + in_chunks(b"<rpc>]]>]]></rpc>"))
+    framer = FrameDecoder()
+    framer.push(frame_delimited(b"<hello/>") + frame_chunked(b"<rpc>]]>]]></rpc>"))
     assert framer.next() == b"<hello/>"
-    framer.chunked()
+    framer.enable_chunking()
     assert framer.next() == b"<rpc>]]>]]></rpc>" and framer.next() is None and framer.empty
 
 
 @pytest.mark.parametrize("data", [b"x", b"\nx", b"\n#0\n", b"\n#01\nx", b"\n#-1\n", b"\n#+1\nx", b"\n# 1\nx", b"\n##\n",
-                                  b"\n#x", b"\n#99999999999", f"\n#{LARGEST + 1}\n".encode(), b"\n#1\nab", b"\n#\n",
-                                  b"\n#1\na\n#\xd9\xa1\n"])  # fmt: skip
+                                  b"\n#x", b"\n#99999999999", f"\n#{MAX_CHUNK_BYTES + 1}\n".encode(), b"\n#1\nab",
+                                  b"\n#\n", b"\n#1\na\n#\xd9\xa1\n"])  # fmt: skip
 def test_what_is_no_chunk_ends_the_session_at_once(data: bytes) -> None:
     for cut in range(len(data) + 1):
-        framer = Framer()
-        framer.chunked()
+        framer = FrameDecoder()
+        framer.enable_chunking()
         with pytest.raises(FramingError, match="found|an end"):
             framer.feed(data[:cut])
             framer.feed(data[cut:])
 
 
 def test_a_message_is_bounded_before_its_bytes_are_held() -> None:
-    framer = Framer(most=100)
-    framer.chunked()
+    framer = FrameDecoder(max_message_bytes=100)
+    framer.enable_chunking()
     with pytest.raises(FramingError, match="over 100 bytes"):
         framer.feed(b"\n#60\n" + b"x" * 60 + b"\n#41\n")
-    framer = Framer(most=100)
+    framer = FrameDecoder(max_message_bytes=100)
     with pytest.raises(FramingError, match="over 100 bytes"):
         framer.feed(b"x" * 200)
     with pytest.raises(FramingError, match="holds"):
-        marked(b"a]]>]]>b")
+        frame_delimited(b"a]]>]]>b")
     with pytest.raises(FramingError, match="empty"):
-        in_chunks(b"")
+        frame_chunked(b"")
 
 
 # The datastore.
@@ -95,13 +97,13 @@
 PATHS = ["/a", "/a/x", "/a/y", "/b", "/b/x", "/ab"]
 
 
-def valid(config: Mapping[str, Any]) -> Iterable[Refused]:
+def valid(config: Mapping[str, Any]) -> Iterable[ConfigRejected]:
     """No negative values, and /b/x wants /a/x."""
     for path, value in config.items():
         if value < 0:
-            yield Refused(Tag.INVALID_VALUE, path, f"found {value}; allowed: 0 or more")
+            yield ConfigRejected(Tag.INVALID_VALUE, path, f"found {value}; allowed: 0 or more")
     if "/b/x" in config and "/a/x" not in config:
-        yield Refused(Tag.OPERATION_FAILED, "/b/x", "it needs /a/x")
+        yield ConfigRejected(Tag.OPERATION_FAILED, "/b/x", "it needs /a/x")
 
 
 def ok(config: Mapping[str, Any]) -> bool:
@@ -147,7 +149,7 @@
 class Machine(RuleBasedStateMachine):
     @initialize()
     def begin(self) -> None:
-        self.stores, self.plain, self.now = Datastores(valid, keep=16), Plain(), 0
+        self.stores, self.plain, self.now = Datastores(valid, max_versions=16), Plain(), 0
         self.stores.load(0, {"/a": 1})
         self.plain.running, self.plain.candidate = {"/a": 1}, {"/a": 1}
 
@@ -162,7 +164,7 @@
         )
         try:
             do()
-        except Refused as refused:
+        except ConfigRejected as refused:
             assert not allowed, refused
             after = (
                 self.stores.running,
@@ -209,7 +211,7 @@
     def edit(self, session: int, edits: list[Edit]) -> None:
         made = self.plain.edited(self.plain.candidate, edits)
         allowed = self.free(Store.CANDIDATE, session) and made is not None
-        if self.attempt(allowed, lambda: self.stores.edit(session, edits)):
+        if self.attempt(allowed, lambda: self.stores.edit_candidate(session, edits)):
             assert made is not None
             self.plain.candidate = made
 
@@ -217,20 +219,20 @@
     def change(self, session: int, edits: list[Edit]) -> None:
         made = self.plain.edited(self.plain.running, edits)
         allowed = self.free(Store.RUNNING, session) and made is not None and ok(made)
-        if self.attempt(allowed, lambda: self.stores.change(self.now, session, edits)):
+        if self.attempt(allowed, lambda: self.stores.edit_running(self.now, session, edits)):
             assert made is not None
             self.plain.put(made)
 
     @rule(session=SESSIONS)
     def discard(self, session: int) -> None:
-        if self.attempt(self.free(Store.CANDIDATE, session), lambda: self.stores.discard(session)):
+        if self.attempt(self.free(Store.CANDIDATE, session), lambda: self.stores.discard_changes(session)):
             self.plain.candidate = dict(self.plain.running)
 
     @rule(session=SESSIONS, within=st.sampled_from([0, 0, 5]), persist=st.sampled_from(["", "", "p"]),
           persist_id=st.sampled_from(["", "", "p"]))  # fmt: skip
     def commit(self, session: int, within: int, persist: str, persist_id: str) -> None:
         self.overdue()
-        self.stores.expire(self.now)
+        self.stores.expire_pending(self.now)
         plain = self.plain
         mine = persist_id == plain.persist if plain.persist else plain.author == session and not persist_id
         allowed = self.free(Store.RUNNING, session) and self.free(Store.CANDIDATE, session) and ok(plain.candidate)
@@ -246,15 +248,17 @@
     @rule(session=SESSIONS, persist_id=st.sampled_from(["", "p"]))
     def cancel(self, session: int, persist_id: str) -> None:
         self.overdue()
-        self.stores.expire(self.now)
+        self.stores.expire_pending(self.now)
         plain = self.plain
         mine = persist_id == plain.persist if plain.persist else plain.author == session and not persist_id
-        if self.attempt(plain.before is not None and mine, lambda: self.stores.cancel(self.now, session, persist_id)):
+        if self.attempt(
+            plain.before is not None and mine, lambda: self.stores.cancel_commit(self.now, session, persist_id)
+        ):
             self.back()
 
     @rule(session=SESSIONS)
     def ended(self, session: int) -> None:
-        self.stores.ended(self.now, session)
+        self.stores.end_session(self.now, session)
         if self.plain.locks.get(Store.CANDIDATE) == session:
             self.plain.candidate = dict(self.plain.running)
         self.plain.locks = {s: o for s, o in self.plain.locks.items() if o != session}
@@ -265,7 +269,7 @@
     def wait(self, time: int) -> None:
         self.now += time
         self.overdue()
-        self.stores.expire(self.now)
+        self.stores.expire_pending(self.now)
 
     @rule(session=SESSIONS, back=st.integers(0, 20))
     def rollback(self, session: int, back: int) -> None:
@@ -295,7 +299,7 @@
 def test_a_reader_keeps_its_version_whatever_is_committed_after_it() -> None:
     stores = Datastores(valid)
     held = stores.load(1, {"/a": 1, "/a/x": 2})
-    stores.change(2, 1, [Edit(Op.DELETE, "/a"), Edit(Op.CREATE, "/b", 3)])
+    stores.edit_running(2, 1, [Edit(Op.DELETE, "/a"), Edit(Op.CREATE, "/b", 3)])
     assert dict(held.config) == {"/a": 1, "/a/x": 2} and dict(stores.running.config) == {"/b": 3}
     assert stores.running.number == held.number + 1
 
@@ -309,13 +313,13 @@
         ([Edit(Op.DELETE, "/c")], Tag.DATA_MISSING, "/c: it is not there; allowed: remove"),
     ]
     for edits, tag, text in cases:
-        with pytest.raises(Refused) as caught:
-            stores.change(2, 1, edits)
+        with pytest.raises(ConfigRejected) as caught:
+            stores.edit_running(2, 1, edits)
         assert caught.value.tag is tag and str(caught.value) == text
         assert dict(stores.running.config) == {"/a": 1} and stores.running.number == 1
     stores.lock(7, Store.RUNNING)
-    with pytest.raises(Refused, match="locked by session 7") as locked:
-        stores.change(2, 1, [Edit(Op.MERGE, "/a", 2)])
+    with pytest.raises(ConfigRejected, match="locked by session 7") as locked:
+        stores.edit_running(2, 1, [Edit(Op.MERGE, "/a", 2)])
     assert locked.value.tag is Tag.IN_USE and locked.value.owner == 7
 
 
@@ -326,5 +330,5 @@
 )
 def test_a_difference_leads_from_one_to_the_other(old: dict[str, int], new: dict[str, int]) -> None:
     stores = Datastores(lambda config: ())
-    made = applied(stores.load(0, old).config, difference(old, new))
+    made = apply_edits(stores.load(0, old).config, diff_configs(old, new))
     assert dict(made) == new
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -10,22 +10,22 @@
 from lxml import etree
 
 from stonetrack.manage.messages import (
-    BASE,
     BASE_10,
     BASE_11,
-    Malformed,
+    BASE_NS,
+    MalformedMessage,
     RpcError,
-    answer,
-    errors,
-    hello,
-    hello_of,
-    ok,
-    read,
-    rpc_of,
+    data_reply,
+    error_reply,
+    ok_reply,
+    parse_hello,
+    parse_rpc,
+    parse_xml,
+    server_hello,
 )
 
 GET = (
-    f'<?xml version="1.0" encoding="UTF-8"?><n:rpc xmlns:n="{BASE}" message-id="101" xmlns:ex="http://example.net/content/1.0"'
+    f'<?xml version="1.0" encoding="UTF-8"?><n:rpc xmlns:n="{BASE_NS}" message-id="101" xmlns:ex="http://example.net/content/1.0"'
     ' ex:user-id="fred"><n:get/></n:rpc>'
 ).encode()
 
@@ -36,73 +36,78 @@
 
 def test_an_rpcs_attributes_come_back_in_its_reply() -> None:
     """RFC 6241, 4.1 and 4.2: the reply repeats every attribute of the rpc, whatever its prefix."""
-    rpc = rpc_of(GET)
-    assert rpc.name == f"{{{BASE}}}get"
-    for data in (ok(rpc), answer(rpc, [etree.Element(f"{{{BASE}}}data")]), errors(rpc.attributes, [])):
+    rpc = parse_rpc(GET)
+    assert rpc.name == f"{{{BASE_NS}}}get"
+    for data in (
+        ok_reply(rpc),
+        data_reply(rpc, [etree.Element(f"{{{BASE_NS}}}data")]),
+        error_reply(rpc.attributes, []),
+    ):
         root = etree.fromstring(data)
-        assert root.tag == f"{{{BASE}}}rpc-reply" and dict(root.attrib) == dict(rpc.attributes)
+        assert root.tag == f"{{{BASE_NS}}}rpc-reply" and dict(root.attrib) == dict(rpc.attributes)
         assert root.get("message-id") == "101" and root.get("{http://example.net/content/1.0}user-id") == "fred"
-    assert names(ok(rpc)) == ["rpc-reply", "ok"]
+    assert names(ok_reply(rpc)) == ["rpc-reply", "ok"]
 
 
 def test_an_rpc_without_message_id_is_answered_as_the_rfc_says() -> None:
     with pytest.raises(RpcError) as caught:
-        rpc_of(f'<rpc xmlns="{BASE}"><get/></rpc>'.encode())
+        parse_rpc(f'<rpc xmlns="{BASE_NS}"><get/></rpc>'.encode())
     error = caught.value
-    assert (error.kind, error.tag) == ("rpc", "missing-attribute")
+    assert (error.error_type, error.tag) == ("rpc", "missing-attribute")
     assert dict(error.info) == {"bad-attribute": "message-id", "bad-element": "rpc"}
-    reply = etree.fromstring(errors({}, [error]))
-    assert reply.findtext(f".//{{{BASE}}}error-tag") == "missing-attribute"
-    assert reply.findtext(f".//{{{BASE}}}error-info/{{{BASE}}}bad-attribute") == "message-id"
+    reply = etree.fromstring(error_reply({}, [error]))
+    assert reply.findtext(f".//{{{BASE_NS}}}error-tag") == "missing-attribute"
+    assert reply.findtext(f".//{{{BASE_NS}}}error-info/{{{BASE_NS}}}bad-attribute") == "message-id"
 
 
 @pytest.mark.parametrize("inside", ["", "<get/><get/>"])
 def test_an_rpc_holds_one_operation(inside: str) -> None:
     with pytest.raises(RpcError, match="allowed: one"):
-        rpc_of(f'<rpc xmlns="{BASE}" message-id="1">{inside}</rpc>'.encode())
+        parse_rpc(f'<rpc xmlns="{BASE_NS}" message-id="1">{inside}</rpc>'.encode())
 
 
 BOMB = (
     '<!DOCTYPE rpc [<!ENTITY a "ha"><!ENTITY b "&a;&a;&a;&a;&a;&a;&a;&a;"><!ENTITY c "&b;&b;&b;&b;&b;&b;&b;&b;">]>'
-    f'<rpc xmlns="{BASE}" message-id="1"><get>&c;</get></rpc>'
+    f'<rpc xmlns="{BASE_NS}" message-id="1"><get>&c;</get></rpc>'
 ).encode()
 FILE = (
-    f'<!DOCTYPE rpc [<!ENTITY x SYSTEM "file:///etc/hostname">]><rpc xmlns="{BASE}" message-id="1"><get>&x;</get></rpc>'
+    f'<!DOCTYPE rpc [<!ENTITY x SYSTEM "file:///etc/hostname">]><rpc xmlns="{BASE_NS}" message-id="1"><get>'
+    "&x;</get></rpc>"
 ).encode()
 
 
 @pytest.mark.parametrize("data", [
     b"", b"x", b"<rpc", b"<rpc/>", b'<rpc xmlns="urn:other" message-id="1"><get/></rpc>', BOMB, FILE,
-    f'<!DOCTYPE rpc><rpc xmlns="{BASE}" message-id="1"><get/></rpc>'.encode(), GET[:-5], GET + b"<more/>",
-    b"<a>" * 100_000, b"\xff\xfe\x00", f'<rpc xmlns="{BASE}" message-id="1">&amp;&nope;<get/></rpc>'.encode(),
+    f'<!DOCTYPE rpc><rpc xmlns="{BASE_NS}" message-id="1"><get/></rpc>'.encode(), GET[:-5], GET + b"<more/>",
+    b"<a>" * 100_000, b"\xff\xfe\x00", f'<rpc xmlns="{BASE_NS}" message-id="1">&amp;&nope;<get/></rpc>'.encode(),
 ])  # fmt: skip
 def test_what_is_no_message_is_malformed_and_reads_nothing_else(data: bytes) -> None:
-    with pytest.raises(Malformed):
-        rpc_of(data)
+    with pytest.raises(MalformedMessage):
+        parse_rpc(data)
 
 
 def test_a_hello_says_what_both_can() -> None:
-    sent = hello(7, [BASE_10, BASE_11])
-    root = read(sent)
-    assert root.findtext(f"{{{BASE}}}session-id") == "7"
-    with pytest.raises(Malformed, match="session-id"):
-        hello_of(sent)  # a client gives none (8.1)
-    theirs = f'<hello xmlns="{BASE}"><capabilities><capability> {BASE_11} </capability></capabilities></hello>'
-    assert hello_of(theirs.encode()) == {BASE_11}
+    sent = server_hello(7, [BASE_10, BASE_11])
+    root = parse_xml(sent)
+    assert root.findtext(f"{{{BASE_NS}}}session-id") == "7"
+    with pytest.raises(MalformedMessage, match="session-id"):
+        parse_hello(sent)  # a client gives none (8.1)
+    theirs = f'<hello xmlns="{BASE_NS}"><capabilities><capability> {BASE_11} </capability></capabilities></hello>'
+    assert parse_hello(theirs.encode()) == {BASE_11}
     for wrong in (theirs.replace("base:1.1", "base:9"), theirs.replace("hello", "hallo"), "<hello/>"):
-        with pytest.raises(Malformed):
-            hello_of(wrong.encode())
+        with pytest.raises(MalformedMessage):
+            parse_hello(wrong.encode())
 
 
 def test_an_error_names_what_where_and_with_which_prefixes() -> None:
     error = RpcError("application", "invalid-value", "found -1; allowed: 0 or more", "/st:router/st:class[1]",
                      {"st": "urn:stonetrack:router"}, (("session-id", "4"),))  # fmt: skip
-    found = etree.fromstring(errors({"message-id": "5"}, [error, error]))
-    inside = found.findall(f"{{{BASE}}}rpc-error")
+    found = etree.fromstring(error_reply({"message-id": "5"}, [error, error]))
+    inside = found.findall(f"{{{BASE_NS}}}rpc-error")
     assert len(inside) == 2
     assert [etree.QName(each).localname for each in inside[0]] == [
         "error-type", "error-tag", "error-severity", "error-path", "error-message", "error-info"]  # fmt: skip
-    at = inside[0].find(f"{{{BASE}}}error-path")
+    at = inside[0].find(f"{{{BASE_NS}}}error-path")
     assert at is not None and at.text == error.path and at.nsmap["st"] == "urn:stonetrack:router"
     with pytest.raises(ValueError, match="no-such-tag"):
         RpcError("rpc", "no-such-tag", "")
@@ -110,13 +115,13 @@
 
 @given(st.text(max_size=60))
 def test_any_text_can_be_said_in_an_error(text: str) -> None:
-    found = etree.fromstring(errors({}, [RpcError("rpc", "operation-failed", text)]))
-    assert len(found.findtext(f".//{{{BASE}}}error-message") or "") <= len(text)
+    found = etree.fromstring(error_reply({}, [RpcError("rpc", "operation-failed", text)]))
+    assert len(found.findtext(f".//{{{BASE_NS}}}error-message") or "") <= len(text)
 
 
 def test_no_bytes_however_mangled_do_more_than_be_refused() -> None:
     draw = random.Random(4)
-    corpus = [GET, BOMB, FILE, hello(1, [BASE_11])]
+    corpus = [GET, BOMB, FILE, server_hello(1, [BASE_11])]
     read_whole = 0
     for _ in range(3_000):
         data = bytearray(draw.choice(corpus))
@@ -132,8 +137,8 @@
             if not data:
                 data = bytearray(b"x")
         try:
-            rpc_of(bytes(data))
+            parse_rpc(bytes(data))
             read_whole += 1
-        except (Malformed, RpcError):
+        except (MalformedMessage, RpcError):
             pass
     assert 0 < read_whole < 1_500
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -14,8 +14,8 @@
 import pytest
 
 from stonetrack.manage import yang
-from stonetrack.manage.datastore import Refused
-from stonetrack.manage.model import MODULES, Model
+from stonetrack.manage.datastore import ConfigRejected
+from stonetrack.manage.model import MODULES_DIR, Model
 from stonetrack.settings import load, parse
 from stonetrack.settings.schema import Node
 from tests.harness import raw_settings
@@ -36,12 +36,13 @@
 
 
 def test_the_module_is_what_the_types_say() -> None:
-    found = (MODULES / "stonetrack.yang").read_text("utf-8")
+    found = (MODULES_DIR / "stonetrack.yang").read_text("utf-8")
     assert found == yang.module_text(), "write it anew: stonetrack.manage.yang.module_text()"
 
 
 def test_pyang_finds_nothing_to_say() -> None:
-    done = subprocess.run([sys.executable, "-m", "pyang", "--strict", "--canonical", str(MODULES / "stonetrack.yang")],
+    done = subprocess.run([sys.executable, "-m", "pyang", "--strict", "--canonical",
+                           str(MODULES_DIR / "stonetrack.yang")],
                           capture_output=True, text=True)  # fmt: skip
     assert done.returncode == 0 and not done.stderr.strip(), done.stderr
 
@@ -50,7 +51,7 @@
     variables = {"list_url": "http://127.0.0.1:1/", "port": "0", "state_dir": ""}
     for settings in (full(), load(DEMO, variables)):
         instance = yang.to_instance(settings)
-        assert model.settings(json.loads(json.dumps(instance))) == settings
+        assert model.parse_settings(json.loads(json.dumps(instance))) == settings
 
 
 def leaves(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
@@ -84,12 +85,12 @@
         if path[-1] not in text and not (isinstance(path[-1], int) and path[-2] in text):
             wrong += ["no such value", "-1", -1]
         for value in wrong:
-            with pytest.raises(Refused):
-                model.settings(put(instance, path, value))
-        with pytest.raises(Refused):  # a name that is not there, beside it
+            with pytest.raises(ConfigRejected):
+                model.parse_settings(put(instance, path, value))
+        with pytest.raises(ConfigRejected):  # a name that is not there, beside it
             beside = path[:-1] if not isinstance(path[-1], int) else path[:-2]
-            model.settings(put(instance, (*beside, "no-such-leaf"), 1))
-    assert model.settings(instance) == full()
+            model.parse_settings(put(instance, (*beside, "no-such-leaf"), 1))
+    assert model.parse_settings(instance) == full()
 
 
 def test_every_bound_of_the_types_is_a_bound_of_the_model(model: Model) -> None:
@@ -109,14 +110,14 @@
                     walk(inner, (*path, n), each)
             case msgspec.inspect.IntType(ge=low, le=high):
                 for bad in ([low - 1] if low is not None else []) + ([high + 1] if high is not None else []):
-                    with pytest.raises(Refused):
-                        model.settings(put(instance, path, str(bad) if isinstance(value, str) else bad))
+                    with pytest.raises(ConfigRejected):
+                        model.parse_settings(put(instance, path, str(bad) if isinstance(value, str) else bad))
                     tried += 1
             case msgspec.inspect.FloatType(ge=least, gt=above, le=most):
                 bads = [least - 0.5 if least is not None else above, most + 0.5 if most is not None else None]
                 for value_off in [each for each in bads if each is not None]:
-                    with pytest.raises(Refused):
-                        model.settings(put(instance, path, f"{float(value_off):.6f}"))
+                    with pytest.raises(ConfigRejected):
+                        model.parse_settings(put(instance, path, f"{float(value_off):.6f}"))
                     tried += 1
 
     walk(msgspec.inspect.type_info(Node), ("stonetrack:router",), instance["stonetrack:router"])
@@ -134,8 +135,8 @@
     ],
 )
 def test_what_must_fit_together_is_refused_by_name(model: Model, path: tuple[Any, ...], value: Any, said: str) -> None:
-    with pytest.raises(Refused) as caught:
-        model.settings(put(yang.to_instance(full()), ("stonetrack:router", *path), value))
+    with pytest.raises(ConfigRejected) as caught:
+        model.parse_settings(put(yang.to_instance(full()), ("stonetrack:router", *path), value))
     assert said in str(caught.value)
 
 
@@ -143,5 +144,5 @@
     "data", [None, 1, [], {}, {"other:router": {}}, {"stonetrack:router": []}, {"stonetrack:router": {}}]
 )
 def test_what_is_no_configuration_is_refused(model: Model, data: Any) -> None:
-    with pytest.raises(Refused):
-        model.settings(data)
+    with pytest.raises(ConfigRejected):
+        model.parse_settings(data)
