--- a/stonetrack/__init__.py
+++ b/stonetrack/__init__.py
@@ -1,4 +1,4 @@
-"""stonetrack: a router between readers and writers of a model service; the decisions are in :mod:`.logic`."""
+"""stonetrack: a router between prefill and decode engines of a model service; the decisions are in :mod:`.logic`."""
 
 from stonetrack.logic import Router
 
--- a/stonetrack/cli/__init__.py
+++ b/stonetrack/cli/__init__.py
@@ -1,6 +1,8 @@
 """The command line, by Click: ``stonetrack COMMAND``.
 
-One module a group of commands.  Inputs: arguments and files.  Outputs: exit codes (0 done, 1 a judged failure,
-2 wrong use or settings) and text for people; ``ready URL`` on its own line where a program waits for it.
+One module per group of commands.
+Inputs: arguments and files.
+Outputs: exit codes (0 success, 1 failed check, 2 wrong usage or settings) and text; ``ready URL`` on a line of its own
+once a service accepts connections.
 Must not depend on: decisions of any kind.
 """
--- a/stonetrack/cli/main.py
+++ b/stonetrack/cli/main.py
@@ -1,4 +1,4 @@
-"""All commands.  Each one's module is imported when it is called: an instance carries what it uses, no more."""
+"""All commands.  A command's module is imported when it is called, so that a process loads only what it uses."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class LazyGroup(click.Group):
-    """A group whose commands are imported by name."""
+    """A group whose commands are imported when they are called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """See ``click.Group``."""
--- a/stonetrack/cli/serve.py
+++ b/stonetrack/cli/serve.py
@@ -1,4 +1,4 @@
-"""Commands that run the node: serve, check, hash-key, and instance (started by serve)."""
+"""Commands that run the node or the discovery service: serve, check, hash-key, lists, and instance (run by serve)."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def parse_variables(pairs: tuple[str, ...]) -> dict[str, str]:
-    """Jsonnet variables from NAME=VALUE pairs."""
-    made = {}
+    """Return Jsonnet variables from NAME=VALUE pairs.  Raises BadParameter."""
+    result = {}
     for pair in pairs:
         name, equals, value = pair.partition("=")
         if not equals or not name:
             raise click.BadParameter(f"{pair!r}; allowed: NAME=VALUE", param_hint="--var")
-        made[name] = value
-    return made
+        result[name] = value
+    return result
 
 
 PORT = click.option("--port", type=click.IntRange(0, 65535), help="Instead of the file's port; 0 takes a free one.")
@@ -37,7 +37,7 @@
 
 
 def stop_on_signals() -> threading.Event:
-    """Set by TERM and INT."""
+    """Return an event that TERM and INT set."""
     stop = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
@@ -45,14 +45,14 @@
 
 
 def open_log(path: Path | None, level: str) -> Any:
-    """A logger to a file, or to standard error."""
+    """Return a logger that writes to a file, or to standard error."""
     from stonetrack.daemon.logging_setup import configure_logging
 
-    return configure_logging(level, open(path, "a", buffering=1) if path else None)  # noqa: SIM115  (open as long as the process)
+    return configure_logging(level, open(path, "a", buffering=1) if path else None)  # noqa: SIM115  (stays open until the process exits)
 
 
 def load_or_exit(path: Path, var: dict[str, str]) -> Node:
-    """The settings, or their errors on standard error and exit code 2."""
+    """Load settings; if they are invalid, print the errors to standard error and exit with code 2."""
     try:
         return load(path, var)
     except SettingsError as error:
@@ -104,7 +104,7 @@
 def run_supervisor(
     file: Path, settings: Node, instances: int, log_path: Path | None, given: dict[str, str], ready_text: str = ""
 ) -> int:
-    """Serve until TERM; the exit code."""
+    """Serve until TERM; return the exit code."""
     from stonetrack.daemon.supervisor import Supervisor
 
     log = open_log(log_path, settings.log_level)
@@ -137,33 +137,33 @@
     from stonetrack.daemon.supervisor import inherited_listener, read_settings
 
     stop = stop_on_signals()
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the supervisor's affair
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # handled by the supervisor
     first = read_settings(lifeline)
     if first is None:
         sys.exit(1)
     settings = parse(first)
     log = configure_logging(settings.log_level)
-    # Threads give the interpreter up at every socket call; who waits for it wakes once an interval to ask. At the usual
-    # 5 ms, and thousands of threads waiting, the asking alone took 7 cores.
+    # Threads release the interpreter lock at every socket call, and each waiting thread wakes up once per interval to
+    # request it.  At the default of 5 ms and with thousands of waiting threads, these wake-ups alone used 7 cores.
     sys.setswitchinterval(0.05)
     running = Instance(settings, inherited_listener(listener), index=index, instances=instances, log=log, name=name,
                        restart=stop.set)  # fmt: skip
     running.start()
 
-    def follow() -> None:
+    def apply_settings() -> None:
         while (data := read_settings(lifeline)) is not None:
             try:
                 running.reload(parse(data))
-            except Exception as error:  # what was checked by the supervisor; a defect must not end service
+            except Exception as error:  # the supervisor has checked them; a defect must not end service
                 log.error("reload failed, nothing changed", error=f"{type(error).__name__}: {error}")
         stop.set()  # the supervisor is gone
 
-    threading.Thread(target=follow, name="lifeline", daemon=True).start()
+    threading.Thread(target=apply_settings, name="lifeline", daemon=True).start()
     os.write(status, b"ready\n")
     stop.wait()
     clean = running.drain(running.settings.timing.drain_ms / 1000.0)
     running.stop()
-    os._exit(0 if clean else 1)  # worker threads of requests that did not end are not waited for
+    os._exit(0 if clean else 1)  # does not wait for threads of unfinished requests
 
 
 S = TypeVar("S", bound=Any)
@@ -171,27 +171,28 @@
 
 def run_service(
     file: Path, port: int | None, log_path: Path | None, load: Callable[[], S], run: Callable[..., None],
-    damaged: type[Exception], path: str = "",
+    state_error: type[Exception], path: str = "",
 ) -> None:  # fmt: skip
-    """Run one of the fleet's services until TERM: ``ready URL`` once it serves, exit code 2 for what can't be used.
+    """Run a service of the fleet until TERM; print ``ready URL`` once it serves.
 
-    ``run`` takes settings, listener, log, what to call when it is ready, and the event that ends it; ``damaged`` is
-    what it raises for a state folder that can't be used.
+    Exits with code 2 if the settings, the listening address or the state folder can't be used.  ``run`` is called with
+    the settings, the listener, a log function, a function to call when ready, and the event that ends the service; it
+    raises ``state_error`` for an unusable state folder.
     """
     from stonetrack.frontend.host import listen
 
     stop = stop_on_signals()
     try:
         settings = load()
-        wanted = settings.listen
-        listener = listen(wanted.host, wanted.port if port is None else port, wanted.backlog)
+        address = settings.listen
+        listener = listen(address.host, address.port if port is None else port, address.backlog)
         log = open_log(log_path, settings.log_level)
-        url = f"http://{wanted.host}:{listener.getsockname()[1]}{path}"
+        url = f"http://{address.host}:{listener.getsockname()[1]}{path}"
         run(settings, listener, log.info, lambda: click.echo(f"ready {url}"), stop)
     except OSError as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(2)
-    except (SettingsError, damaged) as error:
+    except (SettingsError, state_error) as error:
         click.echo(str(error), err=True)
         sys.exit(2)
 
--- a/stonetrack/daemon/__init__.py
+++ b/stonetrack/daemon/__init__.py
@@ -1,7 +1,7 @@
-"""One instance put together, and the supervisor of several.
+"""The node as a program: its instances and their supervisor.
 
-:mod:`.instance` joins fronts, node and engines in one process; :mod:`.supervisor` starts instances on one listening
-socket and starts them again; :mod:`.meters` and :mod:`.log` are what they tell.
+:mod:`.instance` combines frontends, node and engine clients in one process; :mod:`.supervisor` starts instances on one
+listening socket and restarts them; :mod:`.instance_metrics` and :mod:`.logging_setup` provide metrics and logs.
 Inputs: settings, a listening socket, signals.  Outputs: a running node.
-Must not depend on: what the fronts, the node or the engines' side decide.
+Must not depend on: the decisions of frontends, node and engine clients.
 """
--- a/stonetrack/daemon/control_follower.py
+++ b/stonetrack/daemon/control_follower.py
@@ -1,10 +1,10 @@
-"""A node that follows the control service: one thread that asks, and the file of the version that it runs.
+"""Follows the control service: one thread that reports to it, and the file with the version in force.
 
-What a version does to the node is decided in :mod:`stonetrack.control.follower`; here are the thread, the socket and
-the file.  A question waits at the service, so news comes at once; a failed one is followed by another at a drawn
-moment of a growing pause, a third of the permit at most, so that hundreds that lost their service come back spread
-out, and within their permits.  After news, which all hear at one moment, the next question (the acknowledgement) is
-drawn over ``SPREAD`` seconds for each hundred nodes.
+:mod:`stonetrack.control.follower` decides what a version does to the node; this module has the thread, the socket and
+the file.  Each report is a long poll, so a new version arrives at once.  A failed report is repeated after a random
+part of an exponential delay, at most a third of the lease, so that hundreds of nodes that lost their service return
+spread out and before their leases expire.  After a new version, which all nodes get at the same time, the next report
+(the acknowledgement) is sent at a random time within ``ACK_SPREAD_S`` per hundred nodes.
 """
 
 from __future__ import annotations
@@ -27,27 +27,26 @@
 from stonetrack.settings import Node, SettingsError, merged, parse
 
 MS, SECOND = 1_000_000, 1_000_000_000
-FIRST, LONGEST = 0.25, 3.0  # seconds of pause after a failed question
-LEAST = 0.05  # seconds between two questions
-SPREAD = 0.5
-STEADY = 5  # seconds after which a start has lasted
-OVER = 3.0  # seconds that an answer may take over its wait
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.25, 3.0  # after a failed report
+MIN_INTERVAL_S = 0.05  # between two reports
+ACK_SPREAD_S = 0.5  # for each hundred nodes
+STABLE_AFTER_S = 5  # uptime after which a start counts as successful
+ANSWER_MARGIN_S = 3.0  # beyond the wait of a report, in which its answer has to arrive
 
 
 class ControlFollower:
-    """See the module.
+    """Keeps the node on the version that the control service assigns to it.
 
-    ``apply_settings`` puts settings in force under a version and raises where the program can't go on under them;
-    ``request_counts``
-    gives requests asked and served so far; ``acting_digest`` the digest of the version that decisions are made with.
-    ``path`` is where the version is kept, None for nowhere.
+    ``apply_settings`` brings settings of a version into force and raises an exception if the node can't run with them;
+    ``request_counts`` returns the requests received and served so far, ``acting_digest`` the digest of the version that
+    decisions are made with.  ``path`` is the file with the version in force, None to store nothing.
     """
 
     def __init__(
         self,
         own: Node,
         name: str,
-        boot: str,
+        boot_id: str,
         path: Path | None,
         *,
         apply_settings: Callable[[Node, Document], None],
@@ -57,157 +56,161 @@
         log: Callable[[str], None],
         rng: random.Random,
     ) -> None:
-        self._own, self._name, self._boot, self._path = own, name, boot, path
-        self._take, self._counts, self._acting, self._restart = apply_settings, request_counts, acting_digest, restart
-        self._log, self._draw = log, rng
-        self._lock = threading.Lock()  # one change of settings at a time
+        self._own, self._name, self._boot_id, self._path = own, name, boot_id, path
+        self._apply, self._counts, self._acting, self._restart = apply_settings, request_counts, acting_digest, restart
+        self._log, self._rng = log, rng
+        self._lock = threading.Lock()  # serializes changes of settings
         self.follower = Follower()
-        self.permit = Lease(steps_out=own.control.steps_out)
+        self.lease = Lease(steps_out=own.control.steps_out)
         self.last_error = ""
         self.reports_sent = 0
-        self._steady = False
-        self._done = threading.Event()
+        self._stable = False
+        self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="control", daemon=True)
 
     def restore(self) -> tuple[Node, Document]:
-        """The settings that the node comes back on: its own under the version kept on disk, if it still fits."""
+        """Return the settings and the version to start with: the stored version, if it is still valid."""
         if self._path is None or not self._path.exists():
             return self._own, NO_VERSION
         try:
             document = msgspec.json.decode(self._path.read_bytes(), type=Document)
-            settings = self._under(document)
+            settings = self._with_version(document)
         except (OSError, msgspec.DecodeError, SettingsError) as error:
-            self._log(f"the version kept at {self._path} can't be used: {error}; the node's own settings are in force")
+            self._log(f"stored version {self._path} ignored: {error}; the node's own settings are in force")
             return self._own, NO_VERSION
-        self.follower = follower_after_restart(document, self._started(document.number))
+        self.follower = follower_after_restart(document, self._count_start(document.number))
         if self.follower.quarantined:
-            self._log(f"version {document.number} is turned down: {self.follower.why}")
+            self._log(f"version {document.number} was rejected: {self.follower.why}")
             return self._own, NO_VERSION
         return settings, document
 
-    def _started(self, number: int) -> int:
-        """How often the process was started on a version without lasting ``STEADY`` seconds, this start included."""
+    def _count_start(self, number: int) -> int:
+        """Count this start; return how often in a row a start with the version lasted less than ``STABLE_AFTER_S``."""
         assert self._path is not None
         path = self._path.with_suffix(".starts")
         count = 1
         with contextlib.suppress(OSError, ValueError):
-            of, before = map(int, path.read_text("ascii").split())
-            count = before + 1 if of == number else 1
+            counted, previous = map(int, path.read_text("ascii").split())
+            count = previous + 1 if counted == number else 1
         with contextlib.suppress(OSError):
             save(path, f"{number} {count}".encode())
         return count
 
-    def _lasted(self) -> None:
-        """The process has stood for a while: what it runs does not end it."""
-        self._steady = True
+    def _clear_start_count(self) -> None:
+        """The process has been up long enough: the version in force does not make it exit."""
+        self._stable = True
         if self._path is not None and not self.follower.quarantined:
             with contextlib.suppress(OSError):
                 self._path.with_suffix(".starts").unlink(missing_ok=True)
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End."""
-        self._done.set()
+        """Stop the thread; does not wait for a running report."""
+        self._stopping.set()
 
     def refusal(self) -> str:
-        """Why no request may be taken at this moment; empty where one may."""
-        return self.permit.refusal(time.monotonic_ns(), self.follower.running.number)
+        """Return why the node accepts no requests now; empty if it does."""
+        return self.lease.refusal(time.monotonic_ns(), self.follower.running.number)
 
     def apply_own_settings(self, own: Node) -> None:
-        """The node's own file has changed: it is in force under the version that runs.  Raises SettingsError."""
+        """Apply changed settings of the node's own file, with the version in force on top.  Raises SettingsError."""
         with self._lock:
             before, self._own = self._own, own
             try:
-                self._take(self._under(self.follower.running), self.follower.running)
+                self._apply(self._with_version(self.follower.running), self.follower.running)
             except Exception:
                 self._own = before
                 raise
 
-    def _under(self, document: Document) -> Node:
+    def _with_version(self, document: Document) -> Node:
         own = json.loads(msgspec.json.encode(self._own))
         return parse(json.dumps(merged(own, document.content)), f"version {document.number}")
 
     # The thread.
 
     def _run(self) -> None:
-        pause, begun = FIRST, time.monotonic_ns()
-        while not self._done.is_set():
-            asked_at = time.monotonic_ns()
-            if not self._steady and asked_at - begun > STEADY * SECOND:
-                self._lasted()
+        backoff, started = MIN_BACKOFF_S, time.monotonic_ns()
+        while not self._stopping.is_set():
+            sent_at = time.monotonic_ns()
+            if not self._stable and sent_at - started > STABLE_AFTER_S * SECOND:
+                self._clear_start_count()
             try:
-                answer = self._ask()
+                answer = self._report()
             except (OSError, msgspec.DecodeError) as error:
                 if not self.last_error:
                     self._log(f"the control service does not answer: {error}")
                 self.last_error = str(error)
-                self._done.wait(pause * self._draw.uniform(0.5, 1.0))
-                pause = min(LONGEST, 2 * pause)
+                self._stopping.wait(backoff * self._rng.uniform(0.5, 1.0))
+                backoff = min(MAX_BACKOFF_S, 2 * backoff)
                 continue
             if self.last_error:
                 self._log("the control service answers again")
-            self.last_error, pause = "", FIRST
-            news = self._follow(answer, asked_at)
+            self.last_error, backoff = "", MIN_BACKOFF_S
+            new_version = self._handle_answer(answer, sent_at)
             nodes = max(1, self._own.routing.routers)
-            self._done.wait(LEAST + self._draw.random() * (SPREAD * nodes / 100.0 if news else LEAST))
+            self._stopping.wait(
+                MIN_INTERVAL_S + self._rng.random() * (ACK_SPREAD_S * nodes / 100.0 if new_version else MIN_INTERVAL_S)
+            )
 
-    def _ask(self) -> Answer:
-        running, (asked, served) = self.follower.running, self._counts()
+    def _report(self) -> Answer:
+        running, (received, served) = self.follower.running, self._counts()
         control = self._own.control
         report = Report(
-            self._name, self._boot, running.number, running.digest, self._acting(), self.follower.refused,
-            self.follower.why, asked, served, control.wait_ms, self.permit.order,
+            self._name, self._boot_id, running.number, running.digest, self._acting(), self.follower.refused,
+            self.follower.why, received, served, control.wait_ms, self.lease.order,
         )  # fmt: skip
         self.reports_sent += 1
-        told = call(control.url, "POST", "/node", report, timeout_s=control.wait_ms / 1_000.0 + OVER)
-        return msgspec.convert(told, Answer)
-
-    def _follow(self, answer: Answer, asked_at: int) -> bool:
-        """Do what the answer says; whether there was news in it."""
-        before = self.permit
-        self.permit = before.fenced(answer.out, answer.lifted_by, answer.order)
-        if self.permit.fence_reason != before.fence_reason:
-            self._log(f"shut out: {self.permit.fence_reason}" if self.permit.fence_reason else "let in again")
+        answer = call(control.url, "POST", "/node", report, timeout_s=control.wait_ms / 1_000.0 + ANSWER_MARGIN_S)
+        return msgspec.convert(answer, Answer)
+
+    def _handle_answer(self, answer: Answer, sent_at: int) -> bool:
+        """Handle an answer; return whether it had a document."""
+        before = self.lease
+        self.lease = before.fenced(answer.out, answer.lifted_by, answer.order)
+        if self.lease.fence_reason != before.fence_reason:
+            self._log(f"fenced: {self.lease.fence_reason}" if self.lease.fence_reason else "no longer fenced")
         if answer.document is not None:
             self.apply_document(answer.document)
-        # Only now: a node whose permit ran out while it slept would take requests on the old version in between.
-        self.permit = self.permit.renewed(asked_at, answer.permit_ms * MS, answer.steps_out)
-        if answer.restart and self.follower.running.number != answer.lifted_by:  # else this answer brought it up
-            self._log("started anew, as the control service asks")
+        # Renewed after the document is applied: a node that was suspended past its lease would accept requests with the
+        # old version in between.
+        self.lease = self.lease.renewed(sent_at, answer.permit_ms * MS, answer.steps_out)
+        # No restart if this answer has brought the version into force that the restart is for.
+        if answer.restart and self.follower.running.number != answer.lifted_by:
+            self._log("restarting as requested by the control service")
             self._restart()
         return answer.document is not None
 
     def apply_document(self, document: Document) -> None:
-        """Take a version as far as it goes."""
+        """Install a version, or reject it."""
         with self._lock:
             before = self.follower
-            self.follower, do = before.offered(document)
+            self.follower, step = before.offered(document)
             settings: Node | None = None
-            while do is not InstallStep.NONE:
-                if do is InstallStep.VALIDATE:
+            while step is not InstallStep.NONE:
+                if step is InstallStep.VALIDATE:
                     why = ""
                     try:
-                        settings = self._under(document)
+                        settings = self._with_version(document)
                     except SettingsError as error:
                         why = "; ".join(str(problem) for problem in error.problems[:5])
-                    self.follower, do = self.follower.validated(why)
-                elif do is InstallStep.PERSIST and self.follower.installing is not None:
-                    self.follower, do = self.follower.persisted(self._keep(document))
-                elif do is InstallStep.PERSIST:  # the one before is put back
-                    self._keep(self.follower.running)
-                    do = InstallStep.NONE
+                    self.follower, step = self.follower.validated(why)
+                elif step is InstallStep.PERSIST and self.follower.installing is not None:
+                    self.follower, step = self.follower.persisted(self._persist(document))
+                elif step is InstallStep.PERSIST:  # stores the previous version again
+                    self._persist(self.follower.running)
+                    step = InstallStep.NONE
                 else:
-                    self.follower, do = self.follower.applied(self._force(settings, document))
+                    self.follower, step = self.follower.applied(self._apply_version(settings, document))
             after = self.follower
         if after.running.number != before.running.number:
             self._log(f"version {after.running.number} is in force ({after.running.digest})")
         elif after.refused and (after.refused, after.why) != (before.refused, before.why):
-            self._log(f"version {after.refused} is turned down: {after.why}")
+            self._log(f"version {after.refused} was rejected: {after.why}")
 
-    def _keep(self, document: Document) -> str:
+    def _persist(self, document: Document) -> str:
         if self._path is None:
             return ""
         try:
@@ -217,10 +220,10 @@
             return f"it can't be kept: {error}"
         return ""
 
-    def _force(self, settings: Node | None, document: Document) -> str:
+    def _apply_version(self, settings: Node | None, document: Document) -> str:
         assert settings is not None
         try:
-            self._take(settings, document)
-        except Exception as error:  # whatever it is, the version before goes on
+            self._apply(settings, document)
+        except Exception as error:  # after any error the previous version stays in force
             return f"the program can't go on under it: {type(error).__name__}: {error}"
         return ""
--- a/stonetrack/daemon/limits.py
+++ b/stonetrack/daemon/limits.py
@@ -1,4 +1,4 @@
-"""What the machine allows a process, taken whole.  Imports next to nothing: each supervisor starts with it."""
+"""Resource limits of the process.  Has few imports, because each supervisor imports it at its start."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def raise_limits() -> int:
-    """Take as many descriptors as the machine allows; how many."""
+    """Raise the limit of open file descriptors to the hard limit; return the limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
         with contextlib.suppress(ValueError, OSError):
--- a/stonetrack/daemon/logging_setup.py
+++ b/stonetrack/daemon/logging_setup.py
@@ -1,4 +1,4 @@
-"""Structured logging: one JSON object a line, by structlog."""
+"""Structured logging with structlog: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def configure_logging(level: str, out: TextIO | None = None) -> Any:
-    """Set logging up and return a logger."""
+    """Configure logging and return a logger."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
--- a/stonetrack/daemon/readiness.py
+++ b/stonetrack/daemon/readiness.py
@@ -1,7 +1,6 @@
-"""Carries out what :mod:`stonetrack.bootstrap.readiness_stages` decides: connections opened ahead, readiness and
-its log lines.
+"""Carries out the decisions of :mod:`stonetrack.bootstrap.readiness_stages`: opens connections in advance, logs stages.
 
-One thread, which lives until the node is ready and comes back when it is not any more.
+One thread, which runs until the node is ready, and again when it is no longer ready.
 """
 
 from __future__ import annotations
@@ -15,102 +14,107 @@
 from stonetrack.settings import Node
 
 MS = 1_000_000
-AGAIN = 0.25  # seconds between two rounds of connections
+RETRY_INTERVAL_S = 0.25  # between two rounds of connections, and as much again at random
 
 
 def readiness_settings(settings: Node) -> ReadinessSettings:
-    """What the settings allow."""
+    """Return the limits from the settings."""
     source = settings.source
     return ReadinessSettings(source.saved_ms * MS, source.reach, source.patience_ms * MS)
 
 
 def required_roles(settings: Node) -> tuple[frozenset[str], ...]:
-    """Roles of which one engine must be there each."""
-    mixed, writer = Role.MIXED.value, Role.DECODE.value
-    reads = {Role.PREFILL.value, mixed} | ({writer} if settings.routing.writers_read else set())
-    return frozenset(reads), frozenset({writer, mixed})
+    """Return sets of roles, of each of which one engine is required."""
+    mixed, decode = Role.MIXED.value, Role.DECODE.value
+    prefill = {Role.PREFILL.value, mixed} | ({decode} if settings.routing.writers_read else set())
+    return frozenset(prefill), frozenset({decode, mixed})
 
 
 class Readiness:
-    """See the module; ``reach`` opens a connection to an engine and says whether one came about."""
+    """Readiness of the node.
+
+    ``preconnect`` opens a connection to an engine and returns whether it was established.
+    """
 
     def __init__(
         self,
         settings: Node,
         clock: Callable[[], int],
-        reach: Callable[[str], bool],
-        say: Callable[[str], None],
-        draw: random.Random,
+        preconnect: Callable[[str], bool],
+        log: Callable[[str], None],
+        rng: random.Random,
     ) -> None:
-        self._clock, self._reach, self._say, self._draw = clock, reach, say, draw
-        self._starting = StageMachine(readiness_settings(settings), required_roles(settings))
+        self._clock, self._preconnect, self._log, self._rng = clock, preconnect, log, rng
+        self._machine = StageMachine(readiness_settings(settings), required_roles(settings))
         self._lock = threading.Lock()
         self._running = False
-        self._stop = threading.Event()
+        self._stopping = threading.Event()
         self.ready = threading.Event()
 
     @property
     def stage(self) -> Stage:
-        """Where the node stands."""
-        return self._starting.stage
+        """The current stage."""
+        return self._machine.stage
 
     @property
     def on_saved_list(self) -> bool:
-        """Whether it serves on a list from before its start that the service has not confirmed."""
-        return self._starting.on_saved_list
+        """Whether the node serves with a saved list that the discovery service has not confirmed."""
+        return self._machine.on_saved_list
 
     def not_ready_reason(self) -> str:
-        """Why it is not ready; empty where it is."""
+        """Return why the node is not ready; empty if it is."""
         with self._lock:
-            return self._starting.not_ready_reason()
+            return self._machine.not_ready_reason()
 
     def stop(self) -> None:
-        """End the thread."""
-        self._stop.set()
+        """Stop the thread."""
+        self._stopping.set()
 
     def restore_saved(self, up: dict[str, str], age: int) -> bool:
-        """A saved list was found, with these engines up; whether it may be acted on."""
+        """A saved list was found, with these engines up; return whether it may be used."""
         with self._lock:
-            usable = self._starting.restore_saved(up, age, self._clock())
-        self._changed()
+            usable = self._machine.restore_saved(up, age, self._clock())
+        self._stage_changed()
         return usable
 
     def confirm_list(self, up: dict[str, str]) -> None:
-        """A document of the service is in force, with these engines up."""
+        """The discovery service has sent or confirmed the list in force, with these engines up."""
         with self._lock:
-            before = self._starting.stage
-            self._starting.confirm_list(up, self._clock())
-            start = self._starting.stage is Stage.FRESH_LIST and not self._running
-            self._running |= start
-        if self._starting.stage is not before:
-            self._changed()
-        if start:
+            before = self._machine.stage
+            self._machine.confirm_list(up, self._clock())
+            start_thread = self._machine.stage is Stage.FRESH_LIST and not self._running
+            self._running |= start_thread
+        if self._machine.stage is not before:
+            self._stage_changed()
+        if start_thread:
             threading.Thread(target=self._connect, name="reach", daemon=True).start()
 
-    def _changed(self) -> None:
-        stage = self._starting.stage
+    def _stage_changed(self) -> None:
+        stage = self._machine.stage
         if stage is Stage.READY:
             self.ready.set()
         else:
             self.ready.clear()
-        why = self._starting.not_ready_reason()
-        self._say(f"stage: {stage.value}{' (saved list)' if self.on_saved_list else ''}{f', {why}' if why else ''}")
+        reason = self._machine.not_ready_reason()
+        self._log(
+            f"stage: {stage.value}{' (saved list)' if self.on_saved_list else ''}{f', {reason}' if reason else ''}"
+        )
 
     def _connect(self) -> None:
-        """Rounds of connections, each to other engines, until the node is ready."""
-        while not self._stop.is_set():
+        """Open connections in rounds, each to other engines, until the node is ready."""
+        while not self._stopping.is_set():
             with self._lock:
-                engines = self._starting.engines
-                targets = self._starting.connection_targets((self._draw.random(), name) for name in engines)
+                engines = self._machine.engines
+                targets = self._machine.connection_targets((self._rng.random(), name) for name in engines)
             for name in targets:
-                if self._reach(name):
+                if self._preconnect(name):
                     with self._lock:
-                        self._starting.connected(name, self._clock())
+                        self._machine.connected(name, self._clock())
             with self._lock:
-                self._starting.tick(self._clock())
-                done = self._starting.stage is not Stage.FRESH_LIST
+                self._machine.tick(self._clock())
+                done = self._machine.stage is not Stage.FRESH_LIST
                 self._running = not done
             if done:
-                self._changed()
+                self._stage_changed()
                 return
-            self._stop.wait(AGAIN + self._draw.random() * AGAIN)
+            self._stopping.wait(RETRY_INTERVAL_S + self._rng.random() * RETRY_INTERVAL_S)
--- a/stonetrack/daemon/supervisor.py
+++ b/stonetrack/daemon/supervisor.py
@@ -1,16 +1,17 @@
-"""Starts instances on one listening socket, starts those again that die, and passes on what signals ask.
+"""Starts instances on one listening socket, restarts those that exit, and handles signals.
 
 Each instance is a process of its own that inherits the listening socket and two pipes: a *lifeline*, on which the
-supervisor sends settings (a length and JSON) and whose end tells an instance that the supervisor is gone (it drains);
-and a *status* pipe, on which it says that it is ready.
+supervisor sends settings (a length and JSON), and whose end signals that the supervisor is gone (the instance drains);
+and a *status* pipe, on which the instance reports that it is ready.
 
-- TERM, INT: instances drain within ``timing.drain_ms``; what is left is ended.
-- HUP: the settings file is evaluated and checked; wrong settings change nothing, anywhere; right ones go to all.
-- An instance that dies is started again after a pause that doubles from 0.1 to 5 s and is 0.1 s again once it has
-  lived for ten.
+- TERM, INT: instances drain within ``timing.drain_ms``; those that still run after that are killed.
+- HUP: the settings file is evaluated and checked; invalid settings change nothing in any instance, valid ones are sent
+  to all.
+- An instance that exits is restarted after an exponential delay from 0.1 to 5 s, which is reset once it has run for
+  10 s.
 
-A whole fleet's instances wait for their supervisors' imports, so this module imports little; what tends captures comes
-with the first need of it.
+Instances start only after their supervisor's imports, so this module imports little; the maintenance of captures is
+imported if it is needed.
 """
 
 from __future__ import annotations
@@ -38,26 +39,26 @@
 if TYPE_CHECKING:
     from stonetrack.capture.maintenance import MaintenanceRunner
 
-FIRST_PAUSE, LONGEST_PAUSE, STEADY = 0.1, 5.0, 10.0
+MIN_BACKOFF_S, MAX_BACKOFF_S, STABLE_AFTER_S = 0.1, 5.0, 10.0
 
 
 @dataclass
 class ChildProcess:
-    """One instance's place."""
+    """An instance's process, its pipes and its restarts; times in seconds of the monotonic clock."""
 
     index: int
     process: subprocess.Popen[bytes] | None = None
     lifeline: int = -1
     status: int = -1
     ready: bool = False
-    began: float = 0.0
-    pause: float = FIRST_PAUSE
-    due: float = 0.0
+    started_at: float = 0.0
+    backoff: float = MIN_BACKOFF_S
+    restart_at: float = 0.0
     starts: int = 0
 
 
 class Supervisor:
-    """See the module."""
+    """Runs the instances of a node."""
 
     def __init__(
         self,
@@ -76,15 +77,15 @@
         self.children = [ChildProcess(n) for n in range(instances)]
         self._wake_read, self._wake_write = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
         self._signals: list[int] = []
-        self._told_ready = False
-        self._tender: MaintenanceRunner | None = None
+        self._ready_reported = False
+        self._maintenance: MaintenanceRunner | None = None
         if settings.state_dir:
             Path(settings.state_dir).mkdir(parents=True, exist_ok=True)
         self.name = node_name(settings)
 
     @property
     def url(self) -> str:
-        """Where clients connect."""
+        """The URL for clients."""
         return f"http://{self.settings.listen.host}:{self.port}"
 
     # Instances.
@@ -110,20 +111,20 @@
             "--name",
             f"{self.name}-{child.index}",
         ]
-        out = open(self.log_path, "ab") if self.log_path else None  # noqa: SIM115
+        log_file = open(self.log_path, "ab") if self.log_path else None  # noqa: SIM115
         try:
             child.process = subprocess.Popen(
                 command,
                 pass_fds=(self.listener.fileno(), lifeline_read, status_write),
-                stderr=out,
+                stderr=log_file,
                 stdin=subprocess.DEVNULL,
             )
         finally:
             os.close(lifeline_read)
             os.close(status_write)
-            if out is not None:
-                out.close()
-        child.ready, child.began, child.starts = False, time.monotonic(), child.starts + 1
+            if log_file is not None:
+                log_file.close()
+        child.ready, child.started_at, child.starts = False, time.monotonic(), child.starts + 1
         self._send(child, self.settings)
 
     def _send(self, child: ChildProcess, settings: Node) -> None:
@@ -134,7 +135,7 @@
                 view = view[os.write(child.lifeline, view) :]
 
     def _reap(self, child: ChildProcess) -> None:
-        """Note an instance that has ended."""
+        """Clean up after an instance that has exited, and schedule its restart."""
         process = child.process
         if process is None or process.poll() is None:
             return
@@ -143,23 +144,23 @@
             with contextlib.suppress(OSError):
                 os.close(fd)
         child.process, child.lifeline, child.status = None, -1, -1
-        lived = time.monotonic() - child.began
-        child.pause = FIRST_PAUSE if lived >= STEADY else min(child.pause * 2, LONGEST_PAUSE)
-        child.due = time.monotonic() + (FIRST_PAUSE if lived >= STEADY else child.pause / 2)
+        uptime = time.monotonic() - child.started_at
+        child.backoff = MIN_BACKOFF_S if uptime >= STABLE_AFTER_S else min(child.backoff * 2, MAX_BACKOFF_S)
+        child.restart_at = time.monotonic() + (MIN_BACKOFF_S if uptime >= STABLE_AFTER_S else child.backoff / 2)
 
-    # The loop.
+    # Main loop.
 
     def run(self, ready: Callable[[], None]) -> int:
-        """Serve until TERM or INT; ``ready`` is called once when all instances serve.  The exit code."""
-        before = {
-            number: signal.signal(number, lambda got, _: self._signals.append(got))
+        """Serve until TERM or INT; call ``ready`` once all instances serve.  Return the exit code."""
+        old_handlers = {
+            number: signal.signal(number, lambda received, _: self._signals.append(received))
             for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGCHLD)
         }
-        old_wake = signal.set_wakeup_fd(self._wake_write, warn_on_full_buffer=False)
+        old_wakeup_fd = signal.set_wakeup_fd(self._wake_write, warn_on_full_buffer=False)
         try:
             for child in self.children:
                 self._spawn(child)
-            self._tend()
+            self._start_maintenance()
             while True:
                 self._wait()
                 signals, self._signals = self._signals, []
@@ -171,38 +172,38 @@
                 now = time.monotonic()
                 for child in self.children:
                     self._reap(child)
-                    if child.process is None and now >= child.due:
+                    if child.process is None and now >= child.restart_at:
                         self._spawn(child)
-                if not self._told_ready and all(child.ready for child in self.children):
-                    self._told_ready = True
+                if not self._ready_reported and all(child.ready for child in self.children):
+                    self._ready_reported = True
                     ready()
         finally:
-            signal.set_wakeup_fd(old_wake)
-            for number, handler in before.items():
+            signal.set_wakeup_fd(old_wakeup_fd)
+            for number, handler in old_handlers.items():
                 signal.signal(number, handler)
             self.listener.close()
-            self._stop_tending()
+            self._stop_maintenance()
 
-    def _tend(self) -> None:
-        """Look after the folder of captures, where there is one: here, since this process has nothing else to do."""
-        wanted = self.settings.capture
-        if not wanted.dir or not wanted.tend_share:
+    def _start_maintenance(self) -> None:
+        """Start the maintenance of captures, if enabled: in this process, because it is otherwise idle."""
+        config = self.settings.capture
+        if not config.dir or not config.tend_share:
             return
         from stonetrack.capture.codec import CaptureError
         from stonetrack.capture.maintenance import MaintenanceRunner
 
         try:
-            self._tender = MaintenanceRunner(
-                Path(wanted.dir), budget_bytes=wanted.budget_bytes, log=self.log.warning, cpu_share=wanted.tend_share,
-                bytes_per_second=float(wanted.tend_bytes_per_second), states_every=wanted.states_every)  # fmt: skip
-            self._tender.start()
+            self._maintenance = MaintenanceRunner(
+                Path(config.dir), budget_bytes=config.budget_bytes, log=self.log.warning, cpu_share=config.tend_share,
+                bytes_per_second=float(config.tend_bytes_per_second), states_every=config.states_every)  # fmt: skip
+            self._maintenance.start()
         except (CaptureError, OSError) as error:
             self.log.error("captures are not tended", error=str(error))
 
-    def _stop_tending(self) -> None:
-        if self._tender is not None:
-            self._tender.stop()
-            self._tender = None
+    def _stop_maintenance(self) -> None:
+        if self._maintenance is not None:
+            self._maintenance.stop()
+            self._maintenance = None
 
     def _wait(self) -> None:
         poller = select.poll()
@@ -210,8 +211,8 @@
         by_status = {child.status: child for child in self.children if child.status >= 0 and not child.ready}
         for fd in by_status:
             poller.register(fd, select.POLLIN)
-        due = [child.due for child in self.children if child.process is None]
-        wait = min([1.0, *(max(0.0, at - time.monotonic()) for at in due)])
+        restarts = [child.restart_at for child in self.children if child.process is None]
+        wait = min([1.0, *(max(0.0, at - time.monotonic()) for at in restarts)])
         for fd, _ in poller.poll(wait * 1000.0):
             if fd == self._wake_read:
                 with contextlib.suppress(BlockingIOError):
@@ -226,7 +227,7 @@
                 )
 
     def reload(self) -> bool:
-        """Evaluate the file again; whether the settings changed."""
+        """Evaluate the settings file again and send the settings to all instances; return whether it was valid."""
         try:
             settings = load(self.path, self.variables)
         except SettingsError as error:
@@ -235,11 +236,11 @@
         if settings.listen != self.settings.listen:
             self.log.error("settings refused, nothing changed", errors=["$.listen: a change needs a restart"])
             return False
-        tend_anew = settings.capture != self.settings.capture
+        restart_maintenance = settings.capture != self.settings.capture
         self.settings = settings
-        if tend_anew:
-            self._stop_tending()
-            self._tend()
+        if restart_maintenance:
+            self._stop_maintenance()
+            self._start_maintenance()
         for child in self.children:
             if child.process is not None:
                 self._send(child, settings)
@@ -247,12 +248,12 @@
         return True
 
     def _stop(self) -> int:
-        most = self.settings.timing.drain_ms / 1000.0 + 3.0
-        self.log.info("stopping", seconds=most)
+        timeout = self.settings.timing.drain_ms / 1000.0 + 3.0
+        self.log.info("stopping", seconds=timeout)
         running = [child.process for child in self.children if child.process is not None]
         for process in running:
             process.send_signal(signal.SIGTERM)
-        end = time.monotonic() + most
+        end = time.monotonic() + timeout
         clean = True
         for process in running:
             try:
@@ -266,21 +267,21 @@
 
 
 def read_settings(lifeline: int) -> bytes | None:
-    """The next settings on a lifeline, None at its end."""
+    """Read the next settings from a lifeline; return None at its end."""
 
-    def whole(count: int) -> bytes | None:
+    def read_exactly(count: int) -> bytes | None:
         data = b""
         while len(data) < count:
-            more = os.read(lifeline, count - len(data))
-            if not more:
+            chunk = os.read(lifeline, count - len(data))
+            if not chunk:
                 return None
-            data += more
+            data += chunk
         return data
 
-    head = whole(4)
-    return None if head is None else whole(int.from_bytes(head, "big"))
+    length = read_exactly(4)
+    return None if length is None else read_exactly(int.from_bytes(length, "big"))
 
 
 def inherited_listener(fd: int) -> socket.socket:
-    """The listening socket that was passed on."""
+    """Return the listening socket inherited from the supervisor."""
     return socket.socket(fileno=fd)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -114,8 +114,8 @@
     fourth.apply_document(document(8, term=2))
     assert fourth.follower.running.number == 8 and not fourth.follower.quarantined
     assert started().restore()[1].number == 8  # its starts are counted anew
-    fourth._lasted()
-    assert started().restore()[1].number == 8 and not said[-1].startswith("version 8 is turned down")
+    fourth._clear_start_count()
+    assert started().restore()[1].number == 8 and not said[-1].startswith("version 8 was rejected")
 
 
 def test_a_permit_is_good_only_once_the_version_that_came_with_it_is_in_force() -> None:
@@ -126,10 +126,10 @@
     node = ControlFollower(own, "n", "b", None, apply_settings=lambda settings, taken: refused.append(node.refusal()),
                            request_counts=lambda: (0, 0), acting_digest=lambda: "", restart=lambda: None,
                            log=lambda text: None, rng=random.Random(1))  # fmt: skip
-    node._follow(Answer(permit_ms=60_000, steps_out=True, document=document(1)), time.monotonic_ns())
+    node._handle_answer(Answer(permit_ms=60_000, steps_out=True, document=document(1)), time.monotonic_ns())
     assert refused == ["it has no permit yet: the control service does not answer"]
     assert node.refusal() == "" and node.follower.running.number == 1
-    node._follow(Answer(permit_ms=60_000, steps_out=True, out="stale", lifted_by=2), time.monotonic_ns())
+    node._handle_answer(Answer(permit_ms=60_000, steps_out=True, out="stale", lifted_by=2), time.monotonic_ns())
     assert node.refusal() == "stale"
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The program itself: instances on one port, killed and started again, drained, reloaded whole or not at all."""
+"""The node as a program: instances on one port are restarted, drained, and reloaded completely or not at all."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Running:
-    """A node as a program, and stand-ins in this process."""
+    """A node as a program, and emulated engines in this process."""
 
     def __init__(self, folder: Path, instances: int, **spec: Any) -> None:
         self.folder = folder
@@ -89,35 +89,35 @@
     return clients
 
 
-def test_an_instance_killed_outright_is_started_again_and_the_others_serve_on(tmp_path: Path) -> None:
+def test_a_killed_instance_is_restarted_and_the_others_continue(tmp_path: Path) -> None:
     with running(tmp_path, 2, answer_least=250, answer_most=250, token_ms=20.0) as node:
         clients: list[Client] = []
-        at: dict[Client, str] = {}
-        while len(set(at.values())) < 2 and len(clients) < 80:  # which instance accepts is the kernel's choice
-            fresh = open_streams(node, 4)
-            clients += fresh
-            at |= {client: head.headers.get("x-stonetrack-instance") for client in fresh for head in client.events[:1]
-                   if isinstance(head, http1.ResponseHead)}  # fmt: skip
-        assert set(at.values()) == {"n-0", "n-1"}
+        instance_of: dict[Client, str] = {}
+        while len(set(instance_of.values())) < 2 and len(clients) < 80:  # the kernel chooses the instance that accepts
+            added = open_streams(node, 4)
+            clients += added
+            instance_of |= {client: head.headers.get("x-stonetrack-instance") for client in added
+                            for head in client.events[:1] if isinstance(head, http1.ResponseHead)}  # fmt: skip
+        assert set(instance_of.values()) == {"n-0", "n-1"}
         before = {line["index"]: line["pid"] for line in node.lines("instance ready")}
         os.kill(before[0], signal.SIGKILL)
         for client in clients:
             try:
-                whole = client.answer()[1].endswith(b"[DONE]\n\n")
+                complete = client.answer()[1].endswith(b"[DONE]\n\n")
             except (ConnectionError, OSError, ValueError):
-                whole = False
-            assert whole == (at[client] == "n-1")
+                complete = False
+            assert complete == (instance_of[client] == "n-1")
             client.close()
         assert wait_for(lambda: len(node.lines("instance ready")) == 3)
-        again = node.lines("instance ready")[-1]
-        assert again["index"] == 0 and again["starts"] == 2 and again["pid"] != before[0]
-        # The new one began with the list saved on disk, and the service had nothing newer to tell.
+        restarted = node.lines("instance ready")[-1]
+        assert restarted["index"] == 0 and restarted["starts"] == 2 and restarted["pid"] != before[0]
+        # The new process started with the saved list, and the discovery service had no newer version.
         kinds = [line["kind"] for line in node.lines("server list") if line["instance"] == "n-0"]
         assert kinds == ["full", "saved"]
         assert {json.loads(node.get("/health")[1])["instance"] for _ in range(10)} == {"n-0", "n-1"}
 
 
-def test_term_lets_streams_end_and_takes_no_new_client(tmp_path: Path) -> None:
+def test_term_completes_streams_and_accepts_no_new_connections(tmp_path: Path) -> None:
     with running(tmp_path, 2, **SLOW) as node:
         assert node.node is not None
         clients = open_streams(node, 6)
@@ -141,7 +141,7 @@
         assert all(client.sock.recv(65_536) for client in clients)
 
 
-def test_hup_changes_settings_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_hup_changes_settings_completely_or_not_at_all(tmp_path: Path) -> None:
     with running(tmp_path, 2, **SLOW) as node:
         assert node.node is not None
         clients = open_streams(node, 4)
@@ -158,28 +158,30 @@
         node.node.running.send_signal(signal.SIGHUP)
         assert wait_for(lambda: len(node.lines("settings changed")) == 2)
         assert {tuple(models()) for _ in range(6)} == {("demo", "second")}
-        assert all(client.answer()[1].endswith(b"[DONE]\n\n") for client in clients), "a reload cuts no stream"
+        assert all(client.answer()[1].endswith(b"[DONE]\n\n") for client in clients), (
+            "a reload must not interrupt streams"
+        )
         client = Client(node.port)
         assert client.call({**chat(max_tokens=2), "model": "second"})[0].status == 200
         client.close()
 
 
-def test_instances_end_when_their_supervisor_is_killed(tmp_path: Path) -> None:
+def test_instances_exit_when_their_supervisor_is_killed(tmp_path: Path) -> None:
     with running(tmp_path, 2) as node:
         assert node.node is not None
         pids = [line["pid"] for line in node.lines("instance ready")]
         node.node.running.kill()
 
-        def gone(pid: int) -> bool:
+        def exited(pid: int) -> bool:
             try:
                 return Path(f"/proc/{pid}/stat").read_text().split()[2] == "Z"
             except OSError:
                 return True
 
-        assert wait_for(lambda: all(map(gone, pids)), 15.0)
+        assert wait_for(lambda: all(map(exited, pids)), 15.0)
 
 
-def test_the_demo_serves_and_ends() -> None:
+def test_the_demo_serves_and_exits() -> None:
     demo = subprocess.Popen(
         [sys.executable, "-m", "stonetrack", "demo", "--port", "0"], stdout=subprocess.PIPE, text=True
     )
@@ -199,7 +201,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "path", "said"),
+    ("change", "path", "text"),
     [
         ({"modles": []}, "$", "modles"),
         ({"models": []}, "$.models", "length >= 1"),
@@ -229,13 +231,15 @@
         ({"timing": {"drain_ms": "5s"}}, "$.timing.drain_ms", "'5s'"),
     ],
 )
-def test_a_settings_error_names_path_value_and_what_is_allowed(change: dict[str, Any], path: str, said: str) -> None:
+def test_a_settings_error_names_path_value_and_what_is_allowed(change: dict[str, Any], path: str, text: str) -> None:
     raw = raw_settings("http://h:1/e")
     raw.update(change)
     with pytest.raises(SettingsError) as refused:
         parse(json.dumps(raw), "node.jsonnet")
-    text = str(refused.value)
-    assert text.startswith(f"node.jsonnet: {path}") and said in text and "found" in text and "allowed" in text
+    message = str(refused.value)
+    assert (
+        message.startswith(f"node.jsonnet: {path}") and text in message and "found" in message and "allowed" in message
+    )
 
 
 def test_check_evaluates_jsonnet_and_shows_all_problems(tmp_path: Path) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -64,20 +64,20 @@
         return replace(SETTINGS, classes=tuple(replace(CLASS, name=n, worth=worth) for n in names), tenants=tenants)
 
     positions = StablePositions(settings(versions[0], 1.0))
-    seen: dict[str, int] = {}
+    index_of: dict[str, int] = {}
     for n, names in enumerate(versions):
-        told = settings(names, float(n + 1))
+        changed = settings(names, float(n + 1))
         before = positions.settings
-        assert positions.removed_names(told) == [f"{what} {c.name}" for what, those in (("class", before.classes),
-                                     ("tenant", before.tenants)) for c in those if c.name not in names]  # fmt: skip
-        positions.settings = positions.arrange(told)
+        assert positions.removed_names(changed) == [f"{what} {c.name}" for what, entries in (("class", before.classes),
+                                     ("tenant", before.tenants)) for c in entries if c.name not in names]  # fmt: skip
+        positions.settings = positions.arrange(changed)
         for name in names:
             assert (
                 positions.class_index(name)
                 == positions.tenant_index(name)
-                == seen.setdefault(name, positions.class_index(name))
+                == index_of.setdefault(name, positions.class_index(name))
             )
-            assert positions.settings.classes[seen[name]].worth == n + 1
+            assert positions.settings.classes[index_of[name]].worth == n + 1
     with pytest.raises(KeyError):
         positions.class_index("never")
 
@@ -131,11 +131,11 @@
         assert wait_for(lambda: made.node.host.connections == 1)
         ended: list[bool] = []
 
-        def end() -> None:
+        def drain_and_stop() -> None:
             ended.append(made.node.drain(5.0))
             made.node.stop()
 
-        drain = threading.Thread(target=end)
+        drain = threading.Thread(target=drain_and_stop)
         drain.start()
         time.sleep(0.5)  # the acceptor thread has ended by then
         head, _ = client.call(chat(max_tokens=2))
