--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -318,7 +318,8 @@
             return None
         return LogWriter(
             audit_folder(settings), self.name, self._boot_id, self.clock,
-            every=options.every_ms * MS, file_bytes=options.file_bytes, most_files=options.files, log=self._log_warning
+            max_duration=options.every_ms * MS, max_file_bytes=options.file_bytes, max_files=options.files,
+            log=self._log_warning
         )  # fmt: skip
 
     def _make_metrics(self, settings: Node) -> instance_metrics.InstanceMetrics:
