--- a/benchmarks/election.py
+++ b/benchmarks/election.py
@@ -40,7 +40,7 @@
 
 def faults(draw: random.Random, lease: float, until: float) -> list[dict[str, Any]]:
     """Three to six faults, at random moments or at effects."""
-    made: list[dict[str, Any]] = []
+    drawn: list[dict[str, Any]] = []
     for _ in range(draw.randint(3, 6)):
         span = lease * draw.choice((0.5, 1.0, 3.0))
         what = draw.choice(("stop", "kill", "cut", "cut_there", "cut_back", "reset", "register", "store", "term"))
@@ -64,20 +64,20 @@
                      "for_s": min(span, 1.5), "args": {"ms": draw.choice((100.0, 700.0))}}  # fmt: skip
         else:
             each |= {"what": what, "to": draw.choice(("lists", "register")), "of": who}
-        made.append(each)
-    return made
+        drawn.append(each)
+    return drawn
 
 
-def one(seed: int) -> tuple[int, list[str], list[int], float, list[str]]:
+def run_history(seed: int) -> tuple[int, list[str], list[int], float, list[str]]:
     """One random history: violations, terms, how late the links were in ms, and errors of the test harness."""
     draw = random.Random(f"owning/{seed}")
     text = script(draw, 3, 1.0, faults(draw, 1.0, 12.0), 21.0)
     with tempfile.TemporaryDirectory(prefix="owning-") as folder:
-        made = play(parse_script(text), seed, Path(folder) / "play")
+        played_run = play(parse_script(text), seed, Path(folder) / "play")
         log = [json.loads(line) for line in (Path(folder) / "play" / "lists" / LISTS_LOG).read_text().splitlines()]
     effects = owners.effects(log)
     violations = [*owners.interleaved(effects), *owners.results(effects, 4, ["nobody-0", "nobody-1"])]
-    return seed, violations, owners.kept_terms(log), made.late / 1e6, [*made.trouble, *made.unclean]
+    return seed, violations, owners.kept_terms(log), played_run.late / 1e6, [*played_run.trouble, *played_run.unclean]
 
 
 def takeovers(lease: float, seeds: range) -> Iterator[float]:
@@ -87,12 +87,12 @@
         kill = {"what": "kill", "to": "@from", "when": {"what": "head", "to": "lists", "method": "PATCH"}}
         with tempfile.TemporaryDirectory(prefix="owning-") as folder:
             text = script(draw, 3, lease, [kill], 6.0 + 2.5 * lease)
-            made = play(parse_script(text), seed, Path(folder) / "play")
-        died = next(r for r in made.log if r["what"] == "fault")
-        later = [r["t"] for r in made.log if r["what"] == "head" and r["to"] == "lists" and r["from"] != died["to"]
-                 and r["method"] in ("PUT", "PATCH") and r["t"] > died["t"]]  # fmt: skip
-        if later:
-            yield (later[0] - died["t"]) / 1e9
+            played_run = play(parse_script(text), seed, Path(folder) / "play")
+        kill_event = next(r for r in played_run.log if r["what"] == "fault")
+        effects_after = [r["t"] for r in played_run.log if r["what"] == "head" and r["to"] == "lists" and r["from"] != kill_event["to"]
+                 and r["method"] in ("PUT", "PATCH") and r["t"] > kill_event["t"]]  # fmt: skip
+        if effects_after:
+            yield (effects_after[0] - kill_event["t"]) / 1e9
 
 
 @click.group()
@@ -108,7 +108,7 @@
     """Random histories; each that violates a property is listed by its seed."""
     began, violated, terms, refused = time.time(), 0, [], 0
     with ProcessPoolExecutor(side, mp_context=get_context("spawn")) as pool:
-        for seed, violations, kept, late, trouble in pool.map(one, range(first, first + count)):
+        for seed, violations, kept, late, trouble in pool.map(run_history, range(first, first + count)):
             terms.append(len(kept))
             violated += bool(violations)
             if violations or trouble:
@@ -121,15 +121,15 @@
 def handover() -> None:
     """Hand-over after a kill, over lease lengths; store calls a minute over candidates."""
     for lease in (0.5, 1.0, 2.0, 4.0):
-        took = sorted(takeovers(lease, range(5)))
-        click.echo(f"lease {lease:g} s: first effect of the next owner after {statistics.median(took):.2f} s (median), "
-                   f"{took[-1]:.2f} s (worst of {len(took)}); bound {lease + 1:g} s")  # fmt: skip
+        durations = sorted(takeovers(lease, range(5)))
+        click.echo(f"lease {lease:g} s: first effect of the next owner after {statistics.median(durations):.2f} s (median), "
+                   f"{durations[-1]:.2f} s (worst of {len(durations)}); bound {lease + 1:g} s")  # fmt: skip
     for count in (1, 3, 10, 25):
         with tempfile.TemporaryDirectory(prefix="owning-") as folder:
             quiet = json.loads(script(random.Random(1), count, 2.0, [], 16.0))
             quiet["stewards"] |= {"publish": 0, "maintain": 0}
-            made = play(parse_script(json.dumps(quiet)), 1, Path(folder) / "play")
-        calls = [r for r in made.log if r["what"] == "head" and r["to"] == "register" and r["t"] > 5e9]
+            played_run = play(parse_script(json.dumps(quiet)), 1, Path(folder) / "play")
+        calls = [r for r in played_run.log if r["what"] == "head" and r["to"] == "register" and r["t"] > 5e9]
         worst = max((sum(abs(r["t"] - other["t"]) < 5e7 for other in calls) for r in calls), default=0)
         click.echo(
             f"{count} candidates, lease 2 s: {len(calls) / 11 * 60:.0f} calls a minute, {worst} within 100 ms at most"
@@ -167,11 +167,11 @@
     pairs = []
     for seed in range(seeds):
         played = [day(seed, stewards) for stewards in (True, False)]
-        verdicts = [made.verdict for made in played]
+        verdicts = [played_run.verdict for played_run in played]
         assert verdicts[0] is not None and verdicts[1] is not None
         pairs.append((verdicts[0].service, verdicts[1].service))
         violations = [str(b) for verdict in verdicts if verdict is not None for b in verdict.breaches]
-        late = max(made.late for made in played) / 1e6
+        late = max(played_run.late for played_run in played) / 1e6
         click.echo(f"seed {seed}: service {pairs[-1][0]:.3f} with stewards, {pairs[-1][1]:.3f} without; rules broken "
                    f"{len(violations)} {violations[:3]}; links late by {late:.0f} ms")  # fmt: skip
     click.echo(f"median difference {statistics.median(a - b for a, b in pairs):+.3f}")
