--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -61,6 +61,14 @@
         TimerWheel(0, 0)
 
 
+def test_a_timer_that_is_due_in_the_tick_just_processed_expires_at_the_next_advance() -> None:
+    """Smallest case of the property test above; it draws this case only with some seeds."""
+    wheel: TimerWheel[int] = TimerWheel(0, 1)
+    assert wheel.advance(0) == []
+    wheel.add(0, 0)
+    assert wheel.advance(0) == [0]
+
+
 def job(name: str, budget: str = "b", **more: object) -> Job:
     return Job(name, lambda: StepResult(True), budget, **more)  # type: ignore[arg-type]
 
