--- a/stonetrack/daemon/instance.py
+++ b/stonetrack/daemon/instance.py
@@ -199,7 +199,7 @@
         return record_all
 
     def _record_acting(self, now: int, event: api.Event, actions: list[api.Action]) -> None:
-        """Update the acting version at a list's event, the only point at which it changes; log requests' decisions."""
+        """Set the list's version in the acting version, from the list's event on; write decisions to the audit log."""
         if isinstance(event, api.ServerList):
             self.acting = structs.replace(self.acting, origin=self._origin(), version=event.version)
             if self._audit_log is not None:
@@ -212,19 +212,19 @@
 
     @staticmethod
     def _make_recorder(settings: Node, index: int, instances: int, name: str, seed: int, clock: Callable[[], int],
-                  log: Callable[[str], None]) -> Recorder | None:  # fmt: skip
+                       log: Callable[[str], None]) -> Recorder | None:  # fmt: skip
         """Return the recorder of this router's calls, named after the instance and its start time; None if disabled."""
         options = settings.capture
         if not options.dir:
             return None
         redacted = redact_settings(router_settings(settings, index, instances), hash_key(settings))
         header = Header(__version__, f"{name}.{clock()}", seed, redacted)
-        made = Recorder(
+        recorder = Recorder(
             Path(options.dir), header, clock, log=log, flush_interval=options.flush_ms / 1_000.0,
             max_queued=options.waiting, segment_bytes=options.segment_bytes, segment_seconds=options.segment_seconds,
             budget_bytes=options.budget_bytes, sync=options.sync)  # fmt: skip
-        made.start()
-        return made
+        recorder.start()
+        return recorder
 
     def _probe(self, server: str) -> None:
         self.engines.probe(server)
