--- a/stonetrack/emulator/answers.py
+++ b/stonetrack/emulator/answers.py
@@ -48,7 +48,7 @@
 _encode = msgspec.json.encode
 
 
-def mix(*parts: object) -> int:
+def stable_hash(*parts: object) -> int:
     """A stable 64-bit number for some values."""
     return xxhash.xxh3_64_intdigest("\x1f".join(map(str, parts)).encode("utf-8", "surrogatepass"))
 
@@ -63,15 +63,15 @@
     return (len(_encode(messages)) + (len(_encode(tools)) if tools else 0)) // 4 + 1
 
 
-def words(seed: int, prompt: str, count: int) -> list[str]:
+def answer_tokens(seed: int, prompt: str, count: int) -> list[str]:
     """An answer's tokens."""
-    start = mix(seed, prompt)
-    return [("" if n == 0 else " ") + _WORDS[mix(start, n) % len(_WORDS)] for n in range(count)]
+    start = stable_hash(seed, prompt)
+    return [("" if n == 0 else " ") + _WORDS[stable_hash(start, n) % len(_WORDS)] for n in range(count)]
 
 
-def length(seed: int, prompt: str, least: int, most: int, allowed: int) -> tuple[int, str]:
+def answer_length(seed: int, prompt: str, least: int, most: int, allowed: int) -> tuple[int, str]:
     """An answer's length in tokens and why it ends."""
-    wanted = least + mix(seed, "length", prompt) % max(most - least + 1, 1)
+    wanted = least + stable_hash(seed, "length", prompt) % max(most - least + 1, 1)
     return (wanted, "stop") if not allowed or wanted <= allowed else (allowed, "length")
 
 
@@ -87,11 +87,11 @@
     texts: list[str]
     finish: str
     created: int = 0
-    place: int = 0
+    position: int = 0
     calls: list[dict[str, Any]] = field(default_factory=list)
 
     @property
-    def steps(self) -> int:
+    def step_count(self) -> int:
         """How many steps produce tokens."""
         return len(self.calls) if self.calls else len(self.texts)
 
@@ -118,18 +118,18 @@
             choices.append(choice)
         return choices
 
-    def step(self) -> list[bytes]:
+    def next_events(self) -> list[bytes]:
         """The next step's events; after the last token the end, the usage and ``[DONE]``."""
-        n, self.place = self.place, self.place + 1
+        n, self.position = self.position, self.position + 1
         events = []
         if n == 0:
             events.append(self._chunk(self._each({"role": "assistant", "content": ""}, None)))
-        if n < self.steps:
+        if n < self.step_count:
             if self.calls:
                 events.append(self._chunk(self._each({"tool_calls": [self.calls[n]]}, None)))
             else:
                 events.append(self._chunk(self._each({"content": self.texts[n]}, None, self.texts[n])))
-        if n + 1 >= self.steps:
+        if n + 1 >= self.step_count:
             events.append(self._chunk(self._each({}, "tool_calls" if self.calls else self.finish)))
             if (self.body.get("stream_options") or {}).get("include_usage"):
                 events.append(self._chunk([], self.usage()))
@@ -138,7 +138,7 @@
 
     def usage(self) -> dict[str, Any]:
         """Token counts, those kept included."""
-        answered = self.steps * int(self.body.get("n") or 1)
+        answered = self.step_count * int(self.body.get("n") or 1)
         return {
             "prompt_tokens": self.prompt,
             "completion_tokens": answered,
@@ -167,18 +167,20 @@
     return [head, *({"index": 0, "function": {"arguments": piece}} for piece in pieces)]
 
 
-def make(seed: int, request: str, body: dict[str, Any], prompt: int, cached: int, least: int, most: int) -> Answer:
+def make_answer(
+    seed: int, request: str, body: dict[str, Any], prompt: int, cached: int, least: int, most: int
+) -> Answer:
     """The answer to a request."""
     text = prompt_text(body.get("messages"))
     allowed = body.get("max_completion_tokens") or body.get("max_tokens") or 0
-    count, finish = length(seed, text, least, most, int(allowed))
+    count, finish = answer_length(seed, text, least, most, int(allowed))
     return Answer(
         request,
         str(body.get("model", "")),
         prompt,
         cached,
         body,
-        words(seed, text, count),
+        answer_tokens(seed, text, count),
         finish,
         calls=tool_calls(body),
     )
--- a/stonetrack/emulator/engine.py
+++ b/stonetrack/emulator/engine.py
@@ -29,8 +29,8 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-WARM = -1  # a start long ago
-MOST_RELEASED = 4_096  # releases remembered for reads that are still under way or come later
+ALWAYS_WARM = -1  # a start long ago
+MAX_RELEASED_ATTEMPTS = 4_096  # releases remembered for reads that are still under way or come later
 
 
 class Spec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -65,12 +65,12 @@
         return self.read_rate
 
 
-class Ran(Enum):
+class JobKind(Enum):
     """What a job is."""
 
-    READ = "read"
-    WRITE = "write"
-    WHOLE = "whole"
+    PREFILL = "read"
+    DECODE = "write"
+    COMBINED = "whole"
 
 
 @dataclass
@@ -79,16 +79,16 @@
 
     key: int  # of the connection
     request: str
-    ran: Ran
+    kind: JobKind
     body: dict[str, Any]
     prompt: int
     cached: int = 0
-    state_at: str = ""  # engine where the state waits
+    state_engine: str = ""  # engine where the state waits
     answer: answers.Answer | None = None
     stage: str = "queued"
-    left: bool = False
-    number: int = 0  # of the attempt
-    awaits: bool = False  # it is counted as waiting for the state
+    client_gone: bool = False
+    attempt: int = 0  # of the attempt
+    counted_as_awaiting: bool = False  # it is counted as waiting for the state
 
     @property
     def work(self) -> int:
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Events:
+class StreamEvents:
     """Events of a stream; ``first`` opens it, ``last`` ends it."""
 
     key: int
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class ResetConnection:
     """Close the connection with a reset, after these bytes of an event."""
 
     key: int
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class TapEntry:
     """A record for the tap."""
 
     what: str
@@ -135,11 +135,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fell:
+class EngineCrashed:
     """The engine falls over."""
 
 
-Out = Reply | Events | Cut | Note | Fell
+Output = Reply | StreamEvents | ResetConnection | TapEntry | EngineCrashed
 
 
 @dataclass
@@ -162,10 +162,10 @@
 
 @dataclass
 class _Due:
-    heap: list[tuple[int, int, Callable[[int], list[Out]]]] = field(default_factory=list)
+    heap: list[tuple[int, int, Callable[[int], list[Output]]]] = field(default_factory=list)
     count: int = 0
 
-    def at(self, time: int, call: Callable[[int], list[Out]]) -> None:
+    def at(self, time: int, call: Callable[[int], list[Output]]) -> None:
         self.count += 1
         heapq.heappush(self.heap, (time, self.count, call))
 
@@ -173,24 +173,28 @@
 class Engine:
     """See the module.  ``fleet`` finds another engine by name, to fetch a state from."""
 
-    def __init__(self, spec: Spec, seed: int, now: int, started: int, fleet: Callable[[str], Engine | None]) -> None:
-        self.spec, self.seed, self.started, self.fleet = spec, seed, started, fleet
-        self.random = random.Random(answers.mix(seed, spec.name, started))
+    def __init__(
+        self, spec: Spec, seed: int, now: int, started: int, find_engine: Callable[[str], Engine | None]
+    ) -> None:
+        self.spec, self.seed, self.started, self.find_engine = spec, seed, started, find_engine
+        self.rng = random.Random(answers.stable_hash(seed, spec.name, started))
         self.faults = Faults()
-        self.kept: OrderedDict[str, int] = OrderedDict()  # text kept, by its key: tokens
-        self.states: dict[str, tuple[int, int]] = {}  # read states waiting, by request: tokens, attempt
-        self.places: dict[str, int] = {}  # places held
-        self.awaited: Counter[str] = Counter()  # by request: attempts that have arrived and wait for its state here
-        self.deferred: set[str] = set()  # awaited states that were released: they go if nobody fetches them
-        self.released: OrderedDict[str, int] = OrderedDict()  # by request: the last attempt that was let go of
-        self.waiting: deque[Job] = deque()
+        self.prefix_cache: OrderedDict[str, int] = OrderedDict()  # text kept, by its key: tokens
+        self.held_states: dict[str, tuple[int, int]] = {}  # read states waiting, by request: tokens, attempt
+        self.reservations: dict[str, int] = {}  # places held
+        self.awaiting_decode: Counter[str] = (
+            Counter()
+        )  # by request: attempts that have arrived and wait for its state here
+        self.deferred_releases: set[str] = set()  # awaited states that were released: they go if nobody fetches them
+        self.released_attempts: OrderedDict[str, int] = OrderedDict()  # by request: the last attempt that was let go of
+        self.queued_jobs: deque[Job] = deque()
         self.jobs: dict[int, Job] = {}
         self.busy_until = now
-        self.reading: Job | None = None
-        self.streams = 0
+        self.prefill_job: Job | None = None
+        self.active_streams = 0
         self._due = _Due()
         self._arrived: deque[tuple[int, float]] = deque()  # work, for the cold budget
-        self.fallen = False
+        self.crashed = False
 
     # Time.
 
@@ -200,9 +204,9 @@
             return None
         return max(self._due.heap[0][0], self.faults.frozen_until)
 
-    def tick(self, now: int) -> list[Out]:
+    def tick(self, now: int) -> list[Output]:
         """All that is due."""
-        out: list[Out] = []
+        out: list[Output] = []
         while self._due.heap and self._due.heap[0][0] <= now and now >= self.faults.frozen_until:
             _, _, call = heapq.heappop(self._due.heap)
             out += call(now)
@@ -210,7 +214,7 @@
 
     def capacity_share(self, now: int) -> float:
         """Share of its capacity that it has now."""
-        if self.started == WARM or not self.spec.warm_ms:
+        if self.started == ALWAYS_WARM or not self.spec.warm_ms:
             return 1.0
         age = (now - self.started) / MS / self.spec.warm_ms
         return min(1.0, self.spec.cold_share + (1.0 - self.spec.cold_share) * max(age, 0.0))
@@ -218,7 +222,7 @@
     def _pace(self, now: int) -> float:
         """How much longer all takes now."""
         slow = self.faults.slow if now < self.faults.slow_until else 1.0
-        wobble = 1.0 + self.spec.jitter * (2.0 * self.random.random() - 1.0)
+        wobble = 1.0 + self.spec.jitter * (2.0 * self.rng.random() - 1.0)
         return slow * wobble / self.capacity_share(now)
 
     # Load.
@@ -226,41 +230,45 @@
     @property
     def memory_used(self) -> int:
         """Tokens held: states and streams; kept text makes room for them."""
-        return sum(tokens for tokens, _ in self.states.values()) + sum(
+        return sum(tokens for tokens, _ in self.held_states.values()) + sum(
             j.prompt for j in self.jobs.values() if j.stage in ("fetching", "streaming")
         )
 
-    def report(self) -> LoadReport:
+    def load_report(self) -> LoadReport:
         """Its own load report."""
-        running = self.streams + (self.reading is not None) + len(self.states)
-        tokens = sum(job.work for job in self.waiting if job.ran is not Ran.WRITE) + (
-            self.reading.work if self.reading else 0
+        running = self.active_streams + (self.prefill_job is not None) + len(self.held_states)
+        tokens = sum(job.work for job in self.queued_jobs if job.kind is not JobKind.DECODE) + (
+            self.prefill_job.work if self.prefill_job else 0
         )
         return LoadReport(
-            float(running + len(self.waiting)),
-            float(len(self.waiting)),
+            float(running + len(self.queued_jobs)),
+            float(len(self.queued_jobs)),
             min(1.0, self.memory_used / self.spec.memory_tokens),
             float(tokens),
         )
 
     # Requests.
 
-    def arrive(self, now: int, key: int, request: str, body: dict[str, Any], place: bool, number: int = 0) -> list[Out]:
+    def submit(
+        self, now: int, key: int, request: str, body: dict[str, Any], place: bool, attempt: int = 0
+    ) -> list[Output]:
         """A chat request."""
         params = body.get("kv_transfer_params")
         params = params if isinstance(params, dict) else {}
         prompt = answers.prompt_tokens(body.get("messages"), body.get("tools"))
         if params.get("do_remote_decode"):
-            ran = Ran.READ
+            kind = JobKind.PREFILL
         elif params.get("do_remote_prefill"):
-            ran = Ran.WRITE
+            kind = JobKind.DECODE
         else:
-            ran = Ran.WHOLE
-        job = Job(key, request, ran, body, prompt, state_at=str(params.get("remote_engine_id") or ""), number=number)
-        if ran is not Ran.WRITE:
+            kind = JobKind.COMBINED
+        job = Job(
+            key, request, kind, body, prompt, state_engine=str(params.get("remote_engine_id") or ""), attempt=attempt
+        )
+        if kind is not JobKind.DECODE:
             job.cached = self._cached(body, prompt)
-        out: list[Out] = [
-            Note(
+        out: list[Output] = [
+            TapEntry(
                 "work",
                 {
                     "id": request,
@@ -271,20 +279,20 @@
             )
         ]
         if self._overloaded(now, self._work(job)):
-            return [*out, Fell()]
+            return [*out, EngineCrashed()]
         refusal = self._refusal(now, job)
         if refusal is not None:
             return out + refusal
         if place:
-            self.places.pop(request, None)
-        if self.spec.role is Role.PREFILL and ran is not Ran.READ:
+            self.reservations.pop(request, None)
+        if self.spec.role is Role.PREFILL and kind is not JobKind.PREFILL:
             return [*out, _error(key, 400, "this engine only reads prompts", "wrong_role")]
-        if self.spec.role is Role.DECODE and ran is not Ran.WRITE:
+        if self.spec.role is Role.DECODE and kind is not JobKind.DECODE:
             return [*out, _error(key, 409, "no state to fetch, and this engine reads no prompts", "kv_state_missing")]
-        if ran is Ran.WRITE:
-            other = self.fleet(job.state_at)
-            if other is None or request not in other.states:
-                return [*out, _error(key, 409, f"no state at {job.state_at!r}", "kv_state_missing")]
+        if kind is JobKind.DECODE:
+            other = self.find_engine(job.state_engine)
+            if other is None or request not in other.held_states:
+                return [*out, _error(key, 409, f"no state at {job.state_engine!r}", "kv_state_missing")]
         if self._let_go(job):
             return [*out, _error(key, 409, "this attempt was released", "released")]
         if job.prompt > self.spec.memory_tokens:
@@ -292,16 +300,16 @@
                 *out,
                 _error(key, 400, f"the prompt is over {self.spec.memory_tokens} tokens", "context_length_exceeded"),
             ]
-        if len(self.waiting) >= self.spec.queue:
+        if len(self.queued_jobs) >= self.spec.queue:
             return [*out, _error(key, 503, "the queue is full", "full")]
         self.jobs[key] = job
-        if ran is Ran.WRITE:
+        if kind is JobKind.DECODE:
             self._await(job)
-        self.waiting.append(job)
+        self.queued_jobs.append(job)
         return out + self._next(now)
 
     def _work(self, job: Job) -> float:
-        return 1.0 if self.spec.role is Role.DECODE else float(job.work if job.ran is not Ran.WRITE else 0)
+        return 1.0 if self.spec.role is Role.DECODE else float(job.work if job.kind is not JobKind.DECODE else 0)
 
     def _overloaded(self, now: int, work: float) -> bool:
         """Whether a cold engine is pushed over by what has come in its window."""
@@ -312,14 +320,14 @@
         if self.capacity_share(now) >= 1.0 or now - self.started < window:
             return False
         most = self.spec.cold_multiple * self.capacity_share(now) * self.spec.capacity * window / SECOND
-        self.fallen = sum(w for _, w in self._arrived) > most
-        return self.fallen
+        self.crashed = sum(w for _, w in self._arrived) > most
+        return self.crashed
 
-    def _refusal(self, now: int, job: Job) -> list[Out] | None:
+    def _refusal(self, now: int, job: Job) -> list[Output] | None:
         faults = self.faults
         if now < faults.full_until:
             return [_error(job.key, 503, "full", "full")]
-        if now < faults.errors_until and self.random.random() < faults.errors:
+        if now < faults.errors_until and self.rng.random() < faults.errors:
             return [_error(job.key, 500, "internal error", "internal")]
         metadata = job.body.get("metadata")
         named = metadata.get("class") if isinstance(metadata, dict) else None
@@ -330,35 +338,35 @@
             return []
         return None
 
-    def _throttled(self, job: Job) -> list[Out]:
-        if self.jobs.pop(job.key, None) is None or job.left:
+    def _throttled(self, job: Job) -> list[Output]:
+        if self.jobs.pop(job.key, None) is None or job.client_gone:
             return []
         return [_error(job.key, 429, "this class is held back", "rate_limited")]
 
-    def gone(self, now: int, key: int) -> list[Out]:
+    def disconnect(self, now: int, key: int) -> list[Output]:
         """The peer of a connection has left: waiting work is dropped, a stream ends, a read under way goes on."""
         job = self.jobs.get(key)
         if job is None:
             return []
-        job.left = True
+        job.client_gone = True
         self._await_no_more(job)
-        if job.stage == "queued" and job in self.waiting:
-            self.waiting.remove(job)
+        if job.stage == "queued" and job in self.queued_jobs:
+            self.queued_jobs.remove(job)
         elif job.stage in ("fetching", "streaming"):
-            self.streams -= 1
+            self.active_streams -= 1
         elif job.stage == "reading":
             return []  # its state is not kept: nobody knows of it
         self.jobs.pop(key, None)
         return self._next(now)
 
-    def hold(self, request: str) -> bool:
+    def reserve(self, request: str) -> bool:
         """Hold a place, where one is free at once."""
-        if self.streams + len(self.places) >= self.spec.slots or self.waiting:
+        if self.active_streams + len(self.reservations) >= self.spec.slots or self.queued_jobs:
             return False
-        self.places[request] = 1
+        self.reservations[request] = 1
         return True
 
-    def release(self, request: str, place: bool, number: int | None) -> bool:
+    def release(self, request: str, place: bool, attempt: int | None) -> bool:
         """Let go of a state or a place, unless a later attempt brought it about; whether there was one.
 
         A state that a decode attempt waits for stays until that attempt has ended (docs/node.md).  A release that
@@ -366,105 +374,105 @@
         another connection than the read, and may overtake the end of that one.
         """
         if place:
-            return self.places.pop(request, None) is not None
-        if number is not None:
-            self.released[request] = max(number, self.released.pop(request, -1))
-            while len(self.released) > MOST_RELEASED:
-                self.released.popitem(last=False)
-        if number is not None and self.states.get(request, (0, number + 1))[1] > number:
+            return self.reservations.pop(request, None) is not None
+        if attempt is not None:
+            self.released_attempts[request] = max(attempt, self.released_attempts.pop(request, -1))
+            while len(self.released_attempts) > MAX_RELEASED_ATTEMPTS:
+                self.released_attempts.popitem(last=False)
+        if attempt is not None and self.held_states.get(request, (0, attempt + 1))[1] > attempt:
             return False
-        if self.awaited[request] and request in self.states:
-            self.deferred.add(request)
+        if self.awaiting_decode[request] and request in self.held_states:
+            self.deferred_releases.add(request)
             return False
-        return self.states.pop(request, None) is not None
+        return self.held_states.pop(request, None) is not None
 
     def _await(self, job: Job) -> None:
         """A decode attempt has come for a state elsewhere: a release leaves that alone until the attempt has ended."""
-        if (other := self.fleet(job.state_at)) is not None:
-            other.awaited[job.request] += 1
-            job.awaits = True
+        if (other := self.find_engine(job.state_engine)) is not None:
+            other.awaiting_decode[job.request] += 1
+            job.counted_as_awaiting = True
 
     def _await_no_more(self, job: Job) -> None:
-        if not job.awaits:
+        if not job.counted_as_awaiting:
             return
-        job.awaits = False
-        if (other := self.fleet(job.state_at)) is None:
+        job.counted_as_awaiting = False
+        if (other := self.find_engine(job.state_engine)) is None:
             return
-        other.awaited[job.request] -= 1
-        if other.awaited[job.request] <= 0:
-            del other.awaited[job.request]
-            if job.request in other.deferred:
-                other.deferred.discard(job.request)
-                other.states.pop(job.request, None)
+        other.awaiting_decode[job.request] -= 1
+        if other.awaiting_decode[job.request] <= 0:
+            del other.awaiting_decode[job.request]
+            if job.request in other.deferred_releases:
+                other.deferred_releases.discard(job.request)
+                other.held_states.pop(job.request, None)
 
     def _let_go(self, job: Job) -> bool:
-        return job.ran is Ran.READ and self.released.get(job.request, -1) >= job.number
+        return job.kind is JobKind.PREFILL and self.released_attempts.get(job.request, -1) >= job.attempt
 
     # Reading.
 
     def _keys(self, body: dict[str, Any]) -> list[tuple[str, int]]:
         """Prefixes of a prompt, message by message: key and tokens covered."""
-        keys, done = [], answers.mix(body.get("tools"))
+        keys, done = [], answers.stable_hash(body.get("tools"))
         text = 0
         for message in body.get("messages") or ():
             encoded = msgspec.json.encode(message)
             text += len(encoded)
-            done = answers.mix(done, encoded)
+            done = answers.stable_hash(done, encoded)
             keys.append((str(done), text // 4))
         return keys
 
     def _cached(self, body: dict[str, Any], prompt: int) -> int:
-        return max((min(tokens, prompt) for key, tokens in self._keys(body) if key in self.kept), default=0)
+        return max((min(tokens, prompt) for key, tokens in self._keys(body) if key in self.prefix_cache), default=0)
 
     def _keep(self, body: dict[str, Any]) -> None:
         for key, tokens in self._keys(body):
-            self.kept.pop(key, None)
-            self.kept[key] = tokens
+            self.prefix_cache.pop(key, None)
+            self.prefix_cache[key] = tokens
         room = max(self.spec.memory_tokens - self.memory_used, 0)
-        held = sum(self.kept.values())
-        while self.kept and held > room:
-            held -= self.kept.popitem(last=False)[1]
+        held = sum(self.prefix_cache.values())
+        while self.prefix_cache and held > room:
+            held -= self.prefix_cache.popitem(last=False)[1]
 
-    def flush(self) -> None:
+    def clear_prefix_cache(self) -> None:
         """Forget all kept text."""
-        self.kept.clear()
+        self.prefix_cache.clear()
 
-    def _next(self, now: int) -> list[Out]:
+    def _next(self, now: int) -> list[Output]:
         """Begin what can begin."""
-        out: list[Out] = []
-        for job in list(self.waiting):
-            if job.ran is Ran.WRITE:
-                if self.streams >= self.spec.slots:
+        out: list[Output] = []
+        for job in list(self.queued_jobs):
+            if job.kind is JobKind.DECODE:
+                if self.active_streams >= self.spec.slots:
                     continue
-                self.waiting.remove(job)
+                self.queued_jobs.remove(job)
                 out += self._fetch(now, job)
-            elif self.reading is None and self.memory_used + job.prompt <= self.spec.memory_tokens:
-                self.waiting.remove(job)
+            elif self.prefill_job is None and self.memory_used + job.prompt <= self.spec.memory_tokens:
+                self.queued_jobs.remove(job)
                 self._read(now, job)
         return out
 
     def _read(self, now: int, job: Job) -> None:
-        job.stage, self.reading = "reading", job
+        job.stage, self.prefill_job = "reading", job
         job.cached = self._cached(job.body, job.prompt)
         took = (self.spec.read_ms / 1000.0 + job.work / self.spec.read_rate) * self._pace(now)
         self._due.at(now + int(took * SECOND), lambda then: self._read_done(then, job))
 
-    def _read_done(self, now: int, job: Job) -> list[Out]:
-        self.reading = None
-        out: list[Out] = []
+    def _read_done(self, now: int, job: Job) -> list[Output]:
+        self.prefill_job = None
+        out: list[Output] = []
         self._keep(job.body)
-        if job.left:
+        if job.client_gone:
             self.jobs.pop(job.key, None)
-        elif job.ran is Ran.WHOLE:
+        elif job.kind is JobKind.COMBINED:
             out += self._begin(now, job, counted=False)
         elif self._let_go(job):
             self.jobs.pop(job.key, None)
             out.append(_error(job.key, 409, "this attempt was released", "released"))
         else:
             self.jobs.pop(job.key, None)
-            self.states[job.request] = (job.prompt, job.number)
-            out.append(Note("state", {"id": job.request}))
-            answer = answers.make(self.seed, job.request, job.body, job.prompt, job.cached, 1, 1)
+            self.held_states[job.request] = (job.prompt, job.attempt)
+            out.append(TapEntry("state", {"id": job.request}))
+            answer = answers.make_answer(self.seed, job.request, job.body, job.prompt, job.cached, 1, 1)
             out += self._answer(
                 now,
                 job,
@@ -485,7 +493,7 @@
                         "do_remote_decode": False,
                         "do_remote_prefill": True,
                         "remote_engine_id": self.spec.name,
-                        "remote_block_ids": [answers.mix(job.request) % 1_000],
+                        "remote_block_ids": [answers.stable_hash(job.request) % 1_000],
                         "remote_host": "127.0.0.1",
                         "remote_port": 0,
                     },
@@ -493,73 +501,73 @@
             )
         return out + self._next(now)
 
-    def _answer(self, now: int, job: Job, body: dict[str, Any]) -> list[Out]:
-        if now < self.faults.lost_until and self.random.random() < self.faults.lost:
-            return [Cut(job.key)]
+    def _answer(self, now: int, job: Job, body: dict[str, Any]) -> list[Output]:
+        if now < self.faults.lost_until and self.rng.random() < self.faults.lost:
+            return [ResetConnection(job.key)]
         return [Reply(job.key, 200, body)]
 
     # Writing.
 
-    def _fetch(self, now: int, job: Job) -> list[Out]:
-        other = self.fleet(job.state_at)
-        if other is None or job.request not in other.states:
+    def _fetch(self, now: int, job: Job) -> list[Output]:
+        other = self.find_engine(job.state_engine)
+        if other is None or job.request not in other.held_states:
             self._await_no_more(job)
             self.jobs.pop(job.key, None)
-            return [_error(job.key, 409, f"the state at {job.state_at!r} is gone", "kv_state_missing")]
+            return [_error(job.key, 409, f"the state at {job.state_engine!r} is gone", "kv_state_missing")]
         job.stage = "fetching"
-        self.streams += 1
+        self.active_streams += 1
         took = job.prompt / self.spec.fetch_rate * self._pace(now)
         self._due.at(now + int(took * SECOND), lambda then: self._fetched(then, job))
         return []
 
-    def _fetched(self, now: int, job: Job) -> list[Out]:
-        if job.left:
+    def _fetched(self, now: int, job: Job) -> list[Output]:
+        if job.client_gone:
             return []
-        other = self.fleet(job.state_at)
-        fetched = other is not None and other.states.pop(job.request, None) is not None
+        other = self.find_engine(job.state_engine)
+        fetched = other is not None and other.held_states.pop(job.request, None) is not None
         self._await_no_more(job)
         if not fetched:
-            self.streams -= 1
+            self.active_streams -= 1
             self.jobs.pop(job.key, None)
             return [
-                _error(job.key, 409, f"the state at {job.state_at!r} is gone", "kv_state_missing"),
+                _error(job.key, 409, f"the state at {job.state_engine!r} is gone", "kv_state_missing"),
                 *self._next(now),
             ]
-        return [Note("taken", {"id": job.request, "at": job.state_at}), *self._begin(now, job, counted=True)]
+        return [TapEntry("taken", {"id": job.request, "at": job.state_engine}), *self._begin(now, job, counted=True)]
 
-    def _begin(self, now: int, job: Job, counted: bool) -> list[Out]:
-        self.streams += not counted
+    def _begin(self, now: int, job: Job, counted: bool) -> list[Output]:
+        self.active_streams += not counted
         job.stage = "streaming"
-        job.answer = answers.make(
+        job.answer = answers.make_answer(
             self.seed, job.request, job.body, job.prompt, job.cached, self.spec.answer_least, self.spec.answer_most
         )
         self._due.at(now + self._step_time(now), lambda then: self._step(then, job))
         return []
 
     def _step_time(self, now: int) -> int:
-        crowd = 1.0 + self.spec.crowding * min(self.streams / self.spec.slots, 1.0)
+        crowd = 1.0 + self.spec.crowding * min(self.active_streams / self.spec.slots, 1.0)
         return int(self.spec.token_ms * MS * crowd * self._pace(now))
 
-    def _step(self, now: int, job: Job) -> list[Out]:
-        if job.left or job.answer is None:
+    def _step(self, now: int, job: Job) -> list[Output]:
+        if job.client_gone or job.answer is None:
             return []
-        first = job.answer.place == 0
-        events = job.answer.step()
+        first = job.answer.position == 0
+        events = job.answer.next_events()
         last = events[-1] == b"[DONE]"
-        if first and now < self.faults.lost_until and self.random.random() < self.faults.lost:
-            return [Cut(job.key), *self._stream_done(now, job)]
+        if first and now < self.faults.lost_until and self.rng.random() < self.faults.lost:
+            return [ResetConnection(job.key), *self._stream_done(now, job)]
         if self.faults.halves and not first:
             self.faults.halves -= 1
             whole = b"data: " + events[0]
-            return [Cut(job.key, whole[: len(whole) // 2]), *self._stream_done(now, job)]
-        out: list[Out] = [Events(job.key, tuple(events), first, last)]
+            return [ResetConnection(job.key, whole[: len(whole) // 2]), *self._stream_done(now, job)]
+        out: list[Output] = [StreamEvents(job.key, tuple(events), first, last)]
         if last:
             return out + self._stream_done(now, job)
         self._due.at(now + self._step_time(now), lambda then: self._step(then, job))
         return out
 
-    def _stream_done(self, now: int, job: Job) -> list[Out]:
-        self.streams -= 1
+    def _stream_done(self, now: int, job: Job) -> list[Output]:
+        self.active_streams -= 1
         self.jobs.pop(job.key, None)
         return self._next(now)
 
--- a/stonetrack/emulator/etcd.py
+++ b/stonetrack/emulator/etcd.py
@@ -34,7 +34,7 @@
 _HISTORY = 10_000
 
 
-class Bad(Exception):
+class BadRequest(Exception):
     """A request that the gateway does not take."""
 
 
@@ -73,7 +73,7 @@
             elif (wanted := asked.get("request_range")) is not None:
                 answers.append({"response_range": self.range(wanted)})
             else:
-                raise Bad("etcdserver: request_put and request_range are served here")
+                raise BadRequest("etcdserver: request_put and request_range are served here")
         told: dict[str, Any] = {"header": self._header(), "responses": answers}
         return {**told, "succeeded": True} if good else told  # a false field is left out
 
@@ -84,7 +84,7 @@
                 return modified == int(compare.get("mod_revision", "0"))
             case "CREATE":
                 return created == int(compare.get("create_revision", "0"))
-        raise Bad("etcdserver: compares of MOD and CREATE are served here")
+        raise BadRequest("etcdserver: compares of MOD and CREATE are served here")
 
     def _put(self, key: bytes, value: bytes) -> None:
         before = self.keys.get(key)
@@ -92,7 +92,7 @@
         self.revision += 1
         self.keys[key] = (value, before[1] if before else self.revision, self.revision)
 
-    def forget(self, writes: int, anew: bool) -> None:
+    def drop_writes(self, writes: int, anew: bool) -> None:
         """Lose the last writes."""
         for _ in range(min(writes, len(self.writes))):
             key, before = self.writes.pop()
@@ -107,7 +107,7 @@
     try:
         return base64.b64decode(body.get(name, ""), validate=True)
     except (ValueError, TypeError) as error:
-        raise Bad(f"{name}: {error}") from None
+        raise BadRequest(f"{name}: {error}") from None
 
 
 def _text(data: bytes) -> str:
@@ -184,13 +184,13 @@
             if writes and (ms := self._in_force("late")) is not None:
                 time.sleep(ms / 1_000.0)
             connection.write(plain_response(200, msgspec.json.encode(told)))
-        except (Bad, msgspec.DecodeError, KeyError, ValueError, AttributeError) as error:
+        except (BadRequest, msgspec.DecodeError, KeyError, ValueError, AttributeError) as error:
             connection.write(plain_response(400, msgspec.json.encode({"message": str(error), "code": 3})))
         return True
 
     def _range(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
         if path != "/v3/kv/range":
-            raise Bad("served here: /v3/kv/range, /v3/kv/txn, /v3/watch")
+            raise BadRequest("served here: /v3/kv/range, /v3/kv/txn, /v3/watch")
         return self.store.range(body)
 
     def _watch(self, connection: Connection, asked: dict[str, Any]) -> bool:
@@ -216,10 +216,10 @@
     def _fault(self, connection: Connection, body: dict[str, Any]) -> bool:
         fault = body.get("fault")
         if fault not in FAULTS:
-            raise Bad(f"fault {fault!r}; allowed: {', '.join(FAULTS)}")
+            raise BadRequest(f"fault {fault!r}; allowed: {', '.join(FAULTS)}")
         with self._changed:
             if fault == "forget":
-                self.store.forget(int(body.get("writes", 1)), bool(body.get("anew", False)))
+                self.store.drop_writes(int(body.get("writes", 1)), bool(body.get("anew", False)))
                 self._keep()
             elif fault == "compact":
                 self.store.compacted = self.store.revision
--- a/stonetrack/emulator/host.py
+++ b/stonetrack/emulator/host.py
@@ -26,7 +26,18 @@
 from stonetrack.clocks import wall_time
 from stonetrack.discovery.history import History
 from stonetrack.discovery.state_file import new_origin
-from stonetrack.emulator.engine import MS, WARM, Cut, Engine, Events, Fell, Note, Out, Reply, Spec
+from stonetrack.emulator.engine import (
+    ALWAYS_WARM,
+    MS,
+    Engine,
+    EngineCrashed,
+    Output,
+    Reply,
+    ResetConnection,
+    Spec,
+    StreamEvents,
+    TapEntry,
+)
 from stonetrack.emulator.tap import Tap
 from stonetrack.engines import load, protocol
 from stonetrack.wire import http1, sse, writer
@@ -65,7 +76,7 @@
 
 
 @dataclass
-class Conn:
+class Connection:
     """One connection to an engine or to the list service."""
 
     key: int
@@ -94,7 +105,7 @@
     listener: socket.socket | None
     port: int
     engine: Engine | None
-    started: int = WARM
+    started: int = ALWAYS_WARM
     started_unix: float = 0.0
     leaving: bool = False
     frozen: bool = False
@@ -108,14 +119,14 @@
         self.fleet, self.tap = fleet, tap
         self.list_delay = int(fleet.list_delay_ms * MS)
         self._epoll = select.epoll()
-        self._conns: dict[int, Conn] = {}
-        self._by_key: dict[int, Conn] = {}
+        self._conns: dict[int, Connection] = {}
+        self._by_key: dict[int, Connection] = {}
         self._listeners: dict[int, tuple[socket.socket, Slot | None]] = {}
         self._next_key = 0
         self._timers: list[tuple[int, int, Callable[[], None]]] = []
         self._timer_count = 0
         self._history = History(new_origin(), 0)
-        self._watchers: list[tuple[Conn, int, str, int]] = []  # connection, version and history it has, until
+        self._watchers: list[tuple[Connection, int, str, int]] = []  # connection, version and history it has, until
         self._stopping = False
         self._wake, self._waker = socket.socketpair()
         self._epoll.register(self._wake.fileno(), select.EPOLLIN)
@@ -128,7 +139,7 @@
             listener = self._listen(0)
             slot = Slot(spec, listener, listener.getsockname()[1], None)
             self.slots[spec.name] = slot
-            slot.engine = Engine(spec, fleet.seed, now, WARM, self._find)
+            slot.engine = Engine(spec, fleet.seed, now, ALWAYS_WARM, self._find)
             self._watch(listener, slot)
             self._note_up(slot)
         control = self._listen(control_port)
@@ -156,12 +167,12 @@
 
     def _note_up(self, slot: Slot) -> None:
         spec = slot.spec
-        self.tap.note(
+        self.tap.record(
             "up",
             engine=spec.name,
             role=spec.role.value,
             port=slot.port,
-            cold=slot.started != WARM,
+            cold=slot.started != ALWAYS_WARM,
             started=slot.started,
             capacity=spec.capacity,
             cold_share=spec.cold_share,
@@ -175,7 +186,7 @@
         """Where the list is served."""
         return f"http://{self.fleet.host}:{self.control_port}/engines"
 
-    def later(self, delay: int, call: Callable[[], None]) -> None:
+    def call_later(self, delay: int, call: Callable[[], None]) -> None:
         """Call after so many nanoseconds (from the host's thread)."""
         self._timer_count += 1
         heapq.heappush(self._timers, (time.monotonic_ns() + delay, self._timer_count, call))
@@ -247,12 +258,12 @@
             self._next_key += 1
             now = time.monotonic_ns()
             limits = http1.Limits(body=64 << 20)
-            conn = Conn(self._next_key, sock, slot, http1.MessageReader(http1.Side.REQUESTS, limits), now)
+            conn = Connection(self._next_key, sock, slot, http1.MessageReader(http1.Side.REQUESTS, limits), now)
             conn.idle_since = now
             self._conns[sock.fileno()] = self._by_key[conn.key] = conn
             self._epoll.register(sock.fileno(), select.EPOLLIN | select.EPOLLRDHUP)
 
-    def _ready(self, conn: Conn, mask: int) -> None:
+    def _ready(self, conn: Connection, mask: int) -> None:
         if mask & select.EPOLLOUT:
             self._flush(conn)
         if not mask & (select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR):
@@ -281,22 +292,24 @@
             elif isinstance(event, http1.End) and conn.head is not None:
                 self._request(conn, conn.head, bytes(conn.body))
 
-    def _peer_left(self, conn: Conn) -> None:
+    def _peer_left(self, conn: Connection) -> None:
         if conn.at is not None and conn.busy:
-            self.tap.note("left", engine=conn.at.spec.name, id=conn.busy, n=conn.attempt, conn=conn.key)
+            self.tap.record("left", engine=conn.at.spec.name, id=conn.busy, n=conn.attempt, conn=conn.key)
         slot = conn.at
         self._drop(conn, gone=False)
         if slot is not None and slot.engine is not None and not slot.frozen:
-            self._carry(slot, slot.engine.gone(time.monotonic_ns(), conn.key))
+            self._carry(slot, slot.engine.disconnect(time.monotonic_ns(), conn.key))
         elif slot is not None and slot.engine is not None:
             engine, key = slot.engine, conn.key
             wait = max(0, engine.faults.frozen_until - time.monotonic_ns())
-            self.later(
+            self.call_later(
                 wait,
-                lambda: self._carry(slot, engine.gone(time.monotonic_ns(), key)) if slot.engine is engine else None,
+                lambda: (
+                    self._carry(slot, engine.disconnect(time.monotonic_ns(), key)) if slot.engine is engine else None
+                ),
             )
 
-    def _drop(self, conn: Conn, gone: bool = True, hard: bool = False) -> None:
+    def _drop(self, conn: Connection, gone: bool = True, hard: bool = False) -> None:
         fd = conn.sock.fileno()
         if self._conns.pop(fd, None) is None:
             return
@@ -307,12 +320,12 @@
             with contextlib.suppress(OSError):
                 conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _ABORT)
         if gone and conn.busy and conn.at is not None:
-            self.tap.note("cut", engine=conn.at.spec.name, id=conn.busy, n=conn.attempt, conn=conn.key)
+            self.tap.record("cut", engine=conn.at.spec.name, id=conn.busy, n=conn.attempt, conn=conn.key)
         conn.sock.close()
 
     # Requests.
 
-    def _request(self, conn: Conn, head: http1.RequestHead, body: bytes) -> None:
+    def _request(self, conn: Connection, head: http1.RequestHead, body: bytes) -> None:
         if conn.at is None:
             self._control(conn, head, body)
             return
@@ -327,7 +340,7 @@
         more: dict[str, Any] = {"place": b'"kv_transfer_params"' not in body} if conn.job == "release" else {}
         if acting:
             more["acting"] = acting
-        self.tap.note(
+        self.tap.record(
             "request",
             engine=slot.spec.name,
             id=conn.busy,
@@ -353,7 +366,7 @@
             head.path, "other"
         )
 
-    def _run(self, conn: Conn, slot: Slot, head: http1.RequestHead, body: bytes) -> None:
+    def _run(self, conn: Connection, slot: Slot, head: http1.RequestHead, body: bytes) -> None:
         engine = slot.engine
         if engine is None:
             self._drop(conn, hard=True)
@@ -369,25 +382,25 @@
         if not isinstance(raw, dict) or conn.job == "other":
             self._reply(conn, 404 if isinstance(raw, dict) else 400, b'{"error":{"message":"not served here"}}')
         elif conn.job == "hold":
-            held = engine.hold(conn.busy)
+            held = engine.reserve(conn.busy)
             if held:
-                self.tap.note("place", engine=slot.spec.name, id=conn.busy, instance=conn.instance)
+                self.tap.record("place", engine=slot.spec.name, id=conn.busy, instance=conn.instance)
             self._reply(conn, 200 if held else 409, b"{}")
         elif conn.job == "release":
             place = "kv_transfer_params" not in raw
             attempt = raw.get("attempt")
             if engine.release(conn.busy, place, attempt if isinstance(attempt, int) else None):
-                self.tap.note("let go", engine=slot.spec.name, id=conn.busy, place=place)
+                self.tap.record("let go", engine=slot.spec.name, id=conn.busy, place=place)
             self._reply(conn, 200, b"{}")
         else:
             place = "x-held-place" in head.headers
-            if place and engine.places.get(conn.busy):
-                self.tap.note("let go", engine=slot.spec.name, id=conn.busy, place=True)
-            self._carry(slot, engine.arrive(now, conn.key, conn.busy, raw, place, int(conn.attempt or 0)))
+            if place and engine.reservations.get(conn.busy):
+                self.tap.record("let go", engine=slot.spec.name, id=conn.busy, place=True)
+            self._carry(slot, engine.submit(now, conn.key, conn.busy, raw, place, int(conn.attempt or 0)))
 
     @staticmethod
     def _metrics(engine: Engine) -> str:
-        report = engine.report()
+        report = engine.load_report()
         waiting = report.queued or 0.0
         return (
             f'vllm:num_requests_running{{model_name="demo"}} {(report.in_flight or 0.0) - waiting}\n'
@@ -396,14 +409,14 @@
             f'vllm:waiting_prompt_tokens{{model_name="demo"}} {report.waiting_tokens}\n'
         )
 
-    def _carry(self, slot: Slot, out: list[Out]) -> None:
+    def _carry(self, slot: Slot, out: list[Output]) -> None:
         name = slot.spec.name
         for each in out:
-            if isinstance(each, Note):
-                self.tap.note(each.what, engine=name, **each.fields)
+            if isinstance(each, TapEntry):
+                self.tap.record(each.what, engine=name, **each.fields)
                 continue
-            if isinstance(each, Fell):
-                self.tap.note("fell", engine=name)
+            if isinstance(each, EngineCrashed):
+                self.tap.record("fell", engine=name)
                 self._down(slot, "fell")
                 return
             conn = self._by_key.get(each.key)
@@ -411,39 +424,39 @@
                 continue
             if isinstance(each, Reply):
                 self._reply(conn, each.status, msgspec.json.encode(each.body))
-            elif isinstance(each, Cut):
+            elif isinstance(each, ResetConnection):
                 if each.data:
                     self._send(conn, writer.chunk(each.data))
                 self._drop(conn, hard=not each.data)
-            elif isinstance(each, Events):
+            elif isinstance(each, StreamEvents):
                 self._events(conn, slot, each)
 
-    def _events(self, conn: Conn, slot: Slot, each: Events) -> None:
+    def _events(self, conn: Connection, slot: Slot, each: StreamEvents) -> None:
         data = writer.chunk(b"".join(sse.encode(event) for event in each.data))
         if each.first:
-            report = [(load.HEADER, load.to_header(slot.engine.report()))] if slot.engine is not None else []
+            report = [(load.HEADER, load.to_header(slot.engine.load_report()))] if slot.engine is not None else []
             data = (
                 writer.chunked_head(200, [("Content-Type", "text/event-stream"), ("X-Request-Id", conn.busy), *report])
                 + data
             )
             conn.streaming = True
-            self.tap.note("first", engine=slot.spec.name, id=conn.busy, n=conn.attempt, conn=conn.key)
+            self.tap.record("first", engine=slot.spec.name, id=conn.busy, n=conn.attempt, conn=conn.key)
         if each.last:
             data += writer.LAST_CHUNK
         self._send(conn, data)
         if each.last:
             self._done(conn, 200)
 
-    def _reply(self, conn: Conn, status: int, body: bytes, kind: str = "application/json") -> None:
+    def _reply(self, conn: Connection, status: int, body: bytes, kind: str = "application/json") -> None:
         headers = [("Content-Type", kind)]
         if conn.at is not None and conn.at.engine is not None:
-            headers.append((load.HEADER, load.to_header(conn.at.engine.report())))
+            headers.append((load.HEADER, load.to_header(conn.at.engine.load_report())))
         self._send(conn, writer.response(status, headers, body))
         self._done(conn, status)
 
-    def _done(self, conn: Conn, status: int) -> None:
+    def _done(self, conn: Connection, status: int) -> None:
         if conn.at is not None:
-            self.tap.note(
+            self.tap.record(
                 "done",
                 engine=conn.at.spec.name,
                 id=conn.busy,
@@ -460,11 +473,11 @@
 
     # Writing.
 
-    def _send(self, conn: Conn, data: bytes) -> None:
+    def _send(self, conn: Connection, data: bytes) -> None:
         conn.out += data
         self._flush(conn)
 
-    def _flush(self, conn: Conn) -> None:
+    def _flush(self, conn: Connection) -> None:
         if conn.sock.fileno() not in self._conns:
             return
         try:
@@ -495,7 +508,7 @@
 
     # The list and control.
 
-    def _control(self, conn: Conn, head: http1.RequestHead, body: bytes) -> None:
+    def _control(self, conn: Connection, head: http1.RequestHead, body: bytes) -> None:
         conn.head = head
         if head.path == "/engines":
             asked = parse_qs(head.query)
@@ -511,7 +524,7 @@
                 self._watchers.append((conn, after, origin, time.monotonic_ns() + wait * MS))
         elif head.path == "/fault" and head.method == "POST":
             try:
-                self._plain(conn, 200, {"did": self.fault(msgspec.json.decode(body))})
+                self._plain(conn, 200, {"did": self.inject_fault(msgspec.json.decode(body))})
             except (FaultError, msgspec.DecodeError, TypeError, KeyError, ValueError) as error:
                 self._plain(conn, 400, {"error": str(error)})
         elif head.path == "/state":
@@ -519,7 +532,7 @@
         else:
             self._plain(conn, 404, {"error": "served here: /engines, /fault, /state"})
 
-    def _plain(self, conn: Conn, status: int, body: Any) -> None:
+    def _plain(self, conn: Connection, status: int, body: Any) -> None:
         if not (conn.head is None or conn.head.keep_alive):
             conn.close_after = True
         data = body if isinstance(body, bytes) else msgspec.json.encode(body)
@@ -535,21 +548,21 @@
                 "port": slot.port,
                 "up": engine is not None,
                 "leaving": slot.leaving,
-                "states": len(engine.states) if engine else 0,
-                "places": len(engine.places) if engine else 0,
-                "streams": engine.streams if engine else 0,
-                "queued": len(engine.waiting) if engine else 0,
+                "states": len(engine.held_states) if engine else 0,
+                "places": len(engine.reservations) if engine else 0,
+                "streams": engine.active_streams if engine else 0,
+                "queued": len(engine.queued_jobs) if engine else 0,
             }
         return {"version": self._history.version, "engines": engines}
 
-    def _tell(self, conn: Conn, after: int, origin: str) -> bool:
+    def _tell(self, conn: Connection, after: int, origin: str) -> bool:
         """Tell what is newer; whether there was anything."""
         news = self._history.document_since(after, origin)
         if news is None:
             return False
         states = {name: line["state"] for name, line in self._history.lines.items()}
         up = [name for name, state in states.items() if state == ServerState.UP.value]
-        self.tap.note("told", instance=conn.instance, version=news.version,
+        self.tap.record("told", instance=conn.instance, version=news.version,
                       leaving=[name for name in states if name not in up], up=up)  # fmt: skip
         self._plain(conn, 200, news.body)
         return True
@@ -579,21 +592,21 @@
                     self._tell(conn, after, origin)
 
     def _changed(self) -> None:
-        self.later(self.list_delay, self._publish)
+        self.call_later(self.list_delay, self._publish)
 
     # Faults.
 
-    def fault(self, asked: dict[str, Any]) -> str:
+    def inject_fault(self, asked: dict[str, Any]) -> str:
         """Carry out one.  Raises FaultError."""
         kind = asked.get("fault")
         if kind not in FAULTS:
             raise FaultError(f"fault {kind!r}; allowed: {', '.join(FAULTS)}")
         span = int(float(asked.get("for_ms", 1_000)) * MS)
         now = time.monotonic_ns()
-        self.tap.note("fault", **{k: v for k, v in asked.items() if k != "t"})
+        self.tap.record("fault", **{k: v for k, v in asked.items() if k != "t"})
         if kind == "list_late":
             before, self.list_delay = self.list_delay, int(float(asked.get("delay_ms", 3_000)) * MS)
-            self.later(span, lambda: setattr(self, "list_delay", before))
+            self.call_later(span, lambda: setattr(self, "list_delay", before))
             return str(kind)
         slot = self.slots.get(str(asked.get("engine")))
         if slot is None:
@@ -605,23 +618,23 @@
         match kind:
             case "crash":
                 self._down(slot, "crash")
-                self.later(int(float(asked.get("down_ms", 3_000)) * MS), lambda: self._up(slot))
+                self.call_later(int(float(asked.get("down_ms", 3_000)) * MS), lambda: self._up(slot))
             case "leave":
                 slot.leaving = True
                 self._changed()
                 notice, down = (int(float(asked.get(k, 2_000)) * MS) for k in ("notice_ms", "down_ms"))
-                self.later(notice, lambda: self._down(slot, "left"))
-                self.later(notice + down, lambda: self._up(slot))
+                self.call_later(notice, lambda: self._down(slot, "left"))
+                self.call_later(notice + down, lambda: self._up(slot))
             case "hang" | "pause":
                 slot.frozen = True
                 faults.frozen_until = now + span
-                self.later(span, lambda: self._thaw(slot))
+                self.call_later(span, lambda: self._thaw(slot))
             case "slow":
                 faults.slow, faults.slow_until = float(asked.get("factor", 4.0)), now + span
             case "half":
                 faults.halves += int(asked.get("count", 1))
             case "flush":
-                engine.flush()
+                engine.clear_prefix_cache()
             case "full":
                 faults.full_until = now + span
             case "throttle":
@@ -650,10 +663,10 @@
         engine = slot.engine
         if engine is None:
             return
-        for request in engine.states:
-            self.tap.note("state lost", engine=slot.spec.name, id=request)
+        for request in engine.held_states:
+            self.tap.record("state lost", engine=slot.spec.name, id=request)
         slot.engine, slot.frozen, slot.leaving = None, False, False
-        self.tap.note("down", engine=slot.spec.name, why=why)
+        self.tap.record("down", engine=slot.spec.name, why=why)
         if slot.listener is not None:
             self._epoll.unregister(slot.listener.fileno())
             del self._listeners[slot.listener.fileno()]
@@ -670,7 +683,7 @@
         try:
             slot.listener = self._listen(slot.port)
         except OSError:
-            self.later(100 * MS, lambda: self._up(slot))
+            self.call_later(100 * MS, lambda: self._up(slot))
             return
         now = time.monotonic_ns()
         slot.started, slot.started_unix = now, wall_time()
@@ -689,9 +702,9 @@
     host.run()
 
 
-def small_fleet(readers: int, writers: int, mixed: int = 0, cells: int = 2, **more: Any) -> tuple[Spec, ...]:
+def small_fleet(prefill: int, decode: int, mixed: int = 0, cells: int = 2, **more: Any) -> tuple[Spec, ...]:
     """Specs of a fleet spread over cells."""
     made = []
-    for role, count, letter in ((Role.PREFILL, readers, "r"), (Role.DECODE, writers, "w"), (Role.MIXED, mixed, "m")):
+    for role, count, letter in ((Role.PREFILL, prefill, "r"), (Role.DECODE, decode, "w"), (Role.MIXED, mixed, "m")):
         made += [Spec(name=f"{letter}{n}", role=role, cell=n % cells, **more) for n in range(count)]
     return tuple(made)
--- a/stonetrack/emulator/tap.py
+++ b/stonetrack/emulator/tap.py
@@ -32,7 +32,7 @@
         self._encode = msgspec.json.Encoder().encode
         self.records: list[dict[str, Any]] = []
 
-    def note(self, what: str, **fields: Any) -> None:
+    def record(self, what: str, **fields: Any) -> None:
         """Add a record with the time of now."""
         record = {"t": time.monotonic_ns(), "what": what, **fields}
         if self._file is None:
--- a/stonetrack/fleet/links.py
+++ b/stonetrack/fleet/links.py
@@ -324,7 +324,7 @@
 
     def note(self, what: str, **fields: Any) -> None:
         """A line of the rig's own in the log."""
-        self._tap.note(what, **fields)
+        self._tap.record(what, **fields)
 
     def stop(self) -> None:
         """Close everything."""
@@ -429,7 +429,7 @@
 
     def _write(self, link: Link, number: int, what: str, source: str = "", **more: Any) -> None:
         record = {"from": source or link.source, "to": link.to, "conn": number, **more}
-        self._tap.note(what, **record)
+        self._tap.record(what, **record)
         if self._seen is not None:
             self._seen({"what": what, **record})
 
--- a/stonetrack/fleet/serving.py
+++ b/stonetrack/fleet/serving.py
@@ -17,7 +17,16 @@
 
 from stonetrack import api
 from stonetrack.api import Outcome, Role
-from stonetrack.emulator.engine import Cut, Engine, Events, Fell, Note, Out, Reply, Spec
+from stonetrack.emulator.engine import (
+    Engine,
+    EngineCrashed,
+    Output,
+    Reply,
+    ResetConnection,
+    Spec,
+    StreamEvents,
+    TapEntry,
+)
 from stonetrack.logic import Router
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -171,21 +180,21 @@
         if engine is not None:
             self._take(name, engine, engine.tick(self.now))
 
-    def _take(self, name: str, engine: Engine, outs: list[Out]) -> None:
+    def _take(self, name: str, engine: Engine, outs: list[Output]) -> None:
         """What an engine says goes to the nodes."""
         for out in outs:
             match out:
-                case Note(what, fields):
+                case TapEntry(what, fields):
                     self._note(what, engine=name, **fields)
-                case Fell():
+                case EngineCrashed():
                     self._note("fell", engine=name)
                     self._down(name)
                     return
                 case Reply(key, status, body):
-                    self._at(self.now + WAY, partial(self._replied, key, status, body, engine.report()))
-                case Events(key, _, first, last):
+                    self._at(self.now + WAY, partial(self._replied, key, status, body, engine.load_report()))
+                case StreamEvents(key, _, first, last):
                     self._at(self.now + WAY, partial(self._streamed, key, first, last))
-                case Cut(key, _):
+                case ResetConnection(key, _):
                     self._at(self.now + WAY, partial(self._ended, key, Outcome.RESET))
         due = engine.next_due()
         if due is not None and self._wakes.get(name, due + 1) > due:
@@ -247,7 +256,7 @@
     def _probed(self, node: int, server: str, sent: int) -> None:
         engine = self._engines.get(server)
         outcome = Outcome.SERVED if engine is not None else Outcome.CONNECT_FAILED
-        report = engine.report() if engine is not None else None
+        report = engine.load_report() if engine is not None else None
         self._handle(node, api.ProbeEnded(server, outcome, self.now - sent, report))
 
     def _release(self, name: str, request: str) -> None:
@@ -285,7 +294,7 @@
         body = {**asked.body, "kv_transfer_params": params}
         self._note("request", engine=out.engine, id=out.request, n=str(out.number), instance=f"n{out.node}", conn=key,
                    job="read" if engine.spec.role is Role.PREFILL else "write")  # fmt: skip
-        self._take(out.engine, engine, engine.arrive(self.now, key, out.request, body, False, out.number))
+        self._take(out.engine, engine, engine.submit(self.now, key, out.request, body, False, out.number))
 
     def _time_out(self, key: int) -> None:
         out = self._outs.get(key)
@@ -295,7 +304,7 @@
     def _call_off(self, out: _Out, outcome: Outcome) -> None:
         engine = self._engines.get(out.engine)
         if engine is not None:
-            self._take(out.engine, engine, engine.gone(self.now, out.key))
+            self._take(out.engine, engine, engine.disconnect(self.now, out.key))
         self._ended(out.key, outcome)
 
     def _replied(self, key: int, status: int, body: dict[str, Any], report: api.LoadReport) -> None:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -91,7 +91,7 @@
         done = threading.Event()
 
         def go() -> None:
-            self.engines.fault({"engine": engine, "fault": fault, **more})
+            self.engines.inject_fault({"engine": engine, "fault": fault, **more})
             done.set()
 
         self.engines.post(go)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
 
 from stonetrack.api import Role
 from stonetrack.audit.log_writer import read_log
-from stonetrack.emulator.engine import WARM, Engine, Reply, Spec
+from stonetrack.emulator.engine import ALWAYS_WARM, Engine, Reply, Spec
 from stonetrack.emulator.tap import Tap, read
 from stonetrack.fleet import judge
 from stonetrack.fleet.links import Links
@@ -275,19 +275,19 @@
 @pytest.mark.parametrize("overtakes", ["the read's end", "the read"])
 def test_a_release_that_overtakes_its_read_leaves_no_state(overtakes: str) -> None:
     spec = Spec(name="r0", role=Role.PREFILL)
-    engine = Engine(spec, 1, 0, WARM, lambda name: None)
+    engine = Engine(spec, 1, 0, ALWAYS_WARM, lambda name: None)
     body = {"messages": [{"role": "user", "content": "where"}], "kv_transfer_params": {"do_remote_decode": True}}
     if overtakes == "the read":
-        engine.release("q", place=False, number=0)
-        out = engine.arrive(0, 1, "q", body, False, 0)
+        engine.release("q", place=False, attempt=0)
+        out = engine.submit(0, 1, "q", body, False, 0)
     else:
-        assert not [o for o in engine.arrive(0, 1, "q", body, False, 0) if isinstance(o, Reply)]
-        engine.release("q", place=False, number=0)
+        assert not [o for o in engine.submit(0, 1, "q", body, False, 0) if isinstance(o, Reply)]
+        engine.release("q", place=False, attempt=0)
         out = engine.tick(60 * SECOND)
-    assert [o.status for o in out if isinstance(o, Reply)] == [409] and not engine.states
-    engine.arrive(60 * SECOND, 2, "q", body, False, 1)  # a later attempt is none of its business
+    assert [o.status for o in out if isinstance(o, Reply)] == [409] and not engine.held_states
+    engine.submit(60 * SECOND, 2, "q", body, False, 1)  # a later attempt is none of its business
     engine.tick(120 * SECOND)
-    assert set(engine.states) == {"q"}
+    assert set(engine.held_states) == {"q"}
 
 
 # Scripts.
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -254,7 +254,7 @@
     client.close()
     assert wait_for(lambda: node.node.open_requests == 0)
     engines = [slot.engine for slot in node.engines.slots.values() if slot.engine]
-    assert wait_for(lambda: not any(e.states or e.places or e.streams for e in engines))
+    assert wait_for(lambda: not any(e.held_states or e.reservations or e.active_streams for e in engines))
     assert request_succeeds(node)
 
 
--- a/tests/test_openai.py
+++ b/tests/test_openai.py
@@ -30,8 +30,8 @@
     """Return the emulators' answer to the messages."""
     spec = node.engines.fleet.engines[0]
     text = answers.prompt_text(messages)
-    count, _ = answers.length(node.engines.fleet.seed, text, spec.answer_least, spec.answer_most, max_tokens)
-    return "".join(answers.words(node.engines.fleet.seed, text, count))
+    count, _ = answers.answer_length(node.engines.fleet.seed, text, spec.answer_least, spec.answer_most, max_tokens)
+    return "".join(answers.answer_tokens(node.engines.fleet.seed, text, count))
 
 
 def test_a_whole_completion(node: Harness, client: Any) -> None:
