--- a/stonetrack/cli/emulators.py
+++ b/stonetrack/cli/emulators.py
@@ -1,4 +1,4 @@
-"""Commands that try the node out: standin, demo, day."""
+"""Commands to try out the node with emulated engines: standin, standin-etcd, demo, day."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
 @click.option("--writers", type=click.IntRange(0, 500), default=4, show_default=True)
 @click.option("--mixed", type=click.IntRange(0, 500), default=0, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--port", type=click.IntRange(0, 65535), default=0, help="Of the list and control service.")
-@click.option("--log", "log_path", type=click.Path(dir_okay=False, path_type=Path), help="What passed on the sockets.")
+@click.option("--port", type=click.IntRange(0, 65535), default=0, help="Port of the discovery and control service.")
+@click.option("--log", "log_path", type=click.Path(dir_okay=False, path_type=Path), help="File for the traffic log.")
 def standin(
     file: Path | None, readers: int, writers: int, mixed: int, seed: int, port: int, log_path: Path | None
 ) -> None:
-    """Host stand-ins for engines, and the service that lists them, until TERM.
+    """Run engine emulators and their discovery service until TERM.
 
-    FILE is a JSON or Jsonnet fleet; without one, so many readers, writers and mixed engines.
+    FILE is a JSON or Jsonnet fleet; without one, the options set the number of prefill (readers), decode (writers)
+    and mixed engines.
     """
     from stonetrack.emulator.host import Fleet, Host, run_process, small_fleet
     from stonetrack.settings import SettingsError, evaluate
@@ -51,9 +52,9 @@
 
 @click.command("standin-etcd")
 @click.option("--port", type=click.IntRange(0, 65535), default=0)
-@click.option("--state", type=click.Path(dir_okay=False, path_type=Path), help="Keeps the keys over restarts.")
+@click.option("--state", type=click.Path(dir_okay=False, path_type=Path), help="File that persists the keys.")
 def standin_etcd(port: int, state: Path | None) -> None:
-    """A stand-in of etcd's JSON gateway, with faults, until TERM."""
+    """Run an emulator of etcd's JSON gateway with fault injection until TERM."""
     from stonetrack.emulator.etcd import Gateway
     from stonetrack.frontend.host import listen
 
@@ -71,38 +72,41 @@
 @click.option("--port", type=click.IntRange(0, 65535), default=8080, show_default=True)
 @click.option("--instances", type=click.IntRange(1, 64), default=2, show_default=True)
 def demo(port: int, instances: int) -> None:
-    """Two instances and eight stand-ins for engines, until TERM or Ctrl-C.  Serves the model demo to any key."""
+    """Run two instances and eight engine emulators until TERM or Ctrl-C.  Serves the model demo to any key."""
     from stonetrack.fleet.processes import program
 
     folder = Path(tempfile.mkdtemp(prefix="stonetrack-demo-"))
-    log_path, shown = folder / "node.log", port or "PORT"
+    log_path, shown_port = folder / "node.log", port or "PORT"
     text = (
-        f"curl -N http://127.0.0.1:{shown}/v1/chat/completions -H 'Content-Type: application/json' "
+        f"curl -N http://127.0.0.1:{shown_port}/v1/chat/completions -H 'Content-Type: application/json' "
         """-d '{"model": "demo", "stream": true, """
         """"messages": [{"role": "user", "content": "Where can I charge?"}]}'"""
         f"\nlog {log_path}"
     )
     with program("standin", "--readers", "4", "--writers", "4", "--log", str(folder / "engines.log")) as engines:
-        given = {"list_url": engines.url, "port": str(port), "state_dir": str(folder / "state")}
-        settings = load_or_exit(DEMO, given)
-        code = run_supervisor(DEMO, settings, instances, log_path, given, text)
+        variables = {"list_url": engines.url, "port": str(port), "state_dir": str(folder / "state")}
+        settings = load_or_exit(DEMO, variables)
+        code = run_supervisor(DEMO, settings, instances, log_path, variables, text)
     sys.exit(code)
 
 
 @click.group()
 def day() -> None:
-    """Scripted bad days: run one against real nodes and judge it, or make one from a bench day."""
+    """Fault scenarios: run one against real nodes and check it, or make one from a bench day."""
 
 
 @day.command("run")
 @click.argument("file", type=FILE)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
-    "--report", type=click.Path(file_okay=False, path_type=Path), required=True, help="Folder for logs and the page."
+    "--report",
+    type=click.Path(file_okay=False, path_type=Path),
+    required=True,
+    help="Folder for logs and report.",
 )
-@click.option("--quiet", is_flag=True, help="No progress.")
+@click.option("--quiet", is_flag=True, help="Show no progress.")
 def day_run(file: Path, seed: int, report: Path, quiet: bool) -> None:
-    """Run a day and judge the five rules from what passed on the sockets; exit code 1 on a broken rule."""
+    """Run a scenario and check the five rules against the traffic logs; exit code 1 if a rule is broken."""
     from stonetrack.scenario.run import run_scenario
 
     sys.exit(run_scenario(file, seed, report, progress=not quiet and os.isatty(2)))
@@ -113,25 +117,29 @@
 @click.option(
     "--out",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Where the scenario goes; standard output by default.",
+    help="File for the scenario; standard output by default.",
 )
 @click.option("--engines", type=click.IntRange(2, 500), default=12, show_default=True)
 @click.option("--instances", type=click.IntRange(1, 64), default=3, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1, 3_600), default=30.0, show_default=True)
-@click.option("--rate", type=click.FloatRange(0.1, 10_000), default=60.0, show_default=True, help="Requests a second.")
+@click.option(
+    "--rate", type=click.FloatRange(0.1, 10_000), default=60.0, show_default=True, help="Requests per second."
+)
 def day_from_bench(file: Path, out: Path | None, engines: int, instances: int, seconds: float, rate: float) -> None:
-    """Turn the troubles of a bench day (JSON) into a scenario for the real node."""
+    """Convert the faults of a bench day (JSON) into a scenario for the real node."""
     from stonetrack.scenario.bench import BenchError, convert
 
     try:
-        made, left_out = convert(file.read_bytes(), engines=engines, instances=instances, seconds=seconds, rate=rate)
+        scenario, left_out = convert(
+            file.read_bytes(), engines=engines, instances=instances, seconds=seconds, rate=rate
+        )
     except BenchError as error:
         click.echo(f"{file}: {error}", err=True)
         sys.exit(2)
-    text = msgspec.json.format(msgspec.json.encode(made), indent=2).decode() + "\n"
+    text = msgspec.json.format(msgspec.json.encode(scenario), indent=2).decode() + "\n"
     if out is None:
         click.echo(text, nl=False)
     else:
         out.write_text(text, "utf-8")
     for each in left_out:
-        click.echo(f"left out: {each}", err=True)
+        click.echo(f"not converted: {each}", err=True)
--- a/stonetrack/emulator/__init__.py
+++ b/stonetrack/emulator/__init__.py
@@ -1,7 +1,8 @@
-"""Stand-ins for engines, written from the public specifications: many of them in one process.
+"""Engine emulators, written from the public specifications: many of them in one process.
 
-:mod:`.engine` is one engine without I/O (queue, slots, memory, kept text, cold start, faults), :mod:`.answers` what it
-says, :mod:`.host` the sockets of all of them with the list service and the control port, :mod:`.tap` the log of what
-passed on each socket.  Inputs: the engines' protocol, faults.  Outputs: answers, trouble, and a log for the judge.
+:mod:`.engine` is one engine without I/O (queue, slots, memory, prefix cache, slow start, faults), :mod:`.answers` its
+answers, :mod:`.host` the sockets of all engines with the discovery service and the control port, :mod:`.tap` the log of
+the traffic on each socket, :mod:`.etcd` an emulator of etcd's JSON gateway.
+Inputs: the engine protocol, faults.  Outputs: answers, failures, and a traffic log for the tests.
 Must not depend on: the node or the router.
 """
--- a/stonetrack/emulator/answers.py
+++ b/stonetrack/emulator/answers.py
@@ -1,6 +1,6 @@
-"""What a stand-in answers: the same words for the same prompt and seed, whoever is asked.
+"""The answers of the emulated engines: the same words for the same prompt and seed on every engine.
 
-A judge can so say what the whole answer must be.  Forms are those of the public chat API.
+So a test can compute the expected answer.  The formats are those of the public chat API.
 """
 
 from __future__ import annotations
@@ -49,35 +49,35 @@
 
 
 def stable_hash(*parts: object) -> int:
-    """A stable 64-bit number for some values."""
+    """A stable 64-bit hash of some values."""
     return xxhash.xxh3_64_intdigest("\x1f".join(map(str, parts)).encode("utf-8", "surrogatepass"))
 
 
 def prompt_text(messages: object) -> str:
-    """The text of a chat, as far as it matters for the answer."""
+    """The text of a chat from which the answer is derived."""
     return _encode(messages).decode()
 
 
 def prompt_tokens(messages: object, tools: object = None) -> int:
-    """A prompt's length: four bytes a token."""
+    """The length of a prompt in tokens of four bytes."""
     return (len(_encode(messages)) + (len(_encode(tools)) if tools else 0)) // 4 + 1
 
 
 def answer_tokens(seed: int, prompt: str, count: int) -> list[str]:
-    """An answer's tokens."""
+    """The tokens of an answer."""
     start = stable_hash(seed, prompt)
     return [("" if n == 0 else " ") + _WORDS[stable_hash(start, n) % len(_WORDS)] for n in range(count)]
 
 
-def answer_length(seed: int, prompt: str, least: int, most: int, allowed: int) -> tuple[int, str]:
-    """An answer's length in tokens and why it ends."""
-    wanted = least + stable_hash(seed, "length", prompt) % max(most - least + 1, 1)
-    return (wanted, "stop") if not allowed or wanted <= allowed else (allowed, "length")
+def answer_length(seed: int, prompt: str, minimum: int, maximum: int, allowed: int) -> tuple[int, str]:
+    """The length of an answer in tokens and its finish reason."""
+    token_count = minimum + stable_hash(seed, "length", prompt) % max(maximum - minimum + 1, 1)
+    return (token_count, "stop") if not allowed or token_count <= allowed else (allowed, "length")
 
 
 @dataclass
 class Answer:
-    """One answer, to be given in chunks: ``step`` gives the next events' data, None at its end."""
+    """One answer, sent in chunks: :meth:`next_events` returns the data of the next events."""
 
     request: str
     model: str
@@ -92,7 +92,7 @@
 
     @property
     def step_count(self) -> int:
-        """How many steps produce tokens."""
+        """The number of steps that produce tokens."""
         return len(self.calls) if self.calls else len(self.texts)
 
     def _chunk(self, choices: list[dict[str, Any]], usage: dict[str, Any] | None = None) -> bytes:
@@ -107,7 +107,7 @@
             chunk["usage"] = usage
         return _encode(chunk)
 
-    def _each(self, delta: dict[str, Any], finish: str | None, token: str | None = None) -> list[dict[str, Any]]:
+    def _choices(self, delta: dict[str, Any], finish: str | None, token: str | None = None) -> list[dict[str, Any]]:
         choices = []
         for index in range(int(self.body.get("n") or 1)):
             choice: dict[str, Any] = {"index": index, "delta": delta, "finish_reason": finish}
@@ -119,30 +119,30 @@
         return choices
 
     def next_events(self) -> list[bytes]:
-        """The next step's events; after the last token the end, the usage and ``[DONE]``."""
+        """The events of the next step; the last one adds the finish reason, the usage and ``[DONE]``."""
         n, self.position = self.position, self.position + 1
         events = []
         if n == 0:
-            events.append(self._chunk(self._each({"role": "assistant", "content": ""}, None)))
+            events.append(self._chunk(self._choices({"role": "assistant", "content": ""}, None)))
         if n < self.step_count:
             if self.calls:
-                events.append(self._chunk(self._each({"tool_calls": [self.calls[n]]}, None)))
+                events.append(self._chunk(self._choices({"tool_calls": [self.calls[n]]}, None)))
             else:
-                events.append(self._chunk(self._each({"content": self.texts[n]}, None, self.texts[n])))
+                events.append(self._chunk(self._choices({"content": self.texts[n]}, None, self.texts[n])))
         if n + 1 >= self.step_count:
-            events.append(self._chunk(self._each({}, "tool_calls" if self.calls else self.finish)))
+            events.append(self._chunk(self._choices({}, "tool_calls" if self.calls else self.finish)))
             if (self.body.get("stream_options") or {}).get("include_usage"):
                 events.append(self._chunk([], self.usage()))
             events.append(b"[DONE]")
         return events
 
     def usage(self) -> dict[str, Any]:
-        """Token counts, those kept included."""
-        answered = self.step_count * int(self.body.get("n") or 1)
+        """Token counts, including cached tokens."""
+        completion_tokens = self.step_count * int(self.body.get("n") or 1)
         return {
             "prompt_tokens": self.prompt,
-            "completion_tokens": answered,
-            "total_tokens": self.prompt + answered,
+            "completion_tokens": completion_tokens,
+            "total_tokens": self.prompt + completion_tokens,
             "prompt_tokens_details": {"cached_tokens": self.cached},
         }
 
@@ -152,7 +152,7 @@
 
 
 def tool_calls(body: dict[str, Any]) -> list[dict[str, Any]]:
-    """The pieces of a call of the first tool, where the request demands one."""
+    """The fragments of a call of the first tool, if the request requires a call."""
     tools, choice = body.get("tools"), body.get("tool_choice")
     if not isinstance(tools, list) or not tools or not (choice == "required" or isinstance(choice, dict)):
         return []
@@ -163,17 +163,17 @@
         "type": "function",
         "function": {"name": function.get("name", "f"), "arguments": ""},
     }
-    pieces = ['{"pl', 'ace": "N', 'adi"}']
-    return [head, *({"index": 0, "function": {"arguments": piece}} for piece in pieces)]
+    fragments = ['{"pl', 'ace": "N', 'adi"}']
+    return [head, *({"index": 0, "function": {"arguments": fragment}} for fragment in fragments)]
 
 
 def make_answer(
-    seed: int, request: str, body: dict[str, Any], prompt: int, cached: int, least: int, most: int
+    seed: int, request: str, body: dict[str, Any], prompt: int, cached: int, minimum: int, maximum: int
 ) -> Answer:
     """The answer to a request."""
     text = prompt_text(body.get("messages"))
     allowed = body.get("max_completion_tokens") or body.get("max_tokens") or 0
-    count, finish = answer_length(seed, text, least, most, int(allowed))
+    count, finish = answer_length(seed, text, minimum, maximum, int(allowed))
     return Answer(
         request,
         str(body.get("model", "")),
--- a/stonetrack/emulator/etcd.py
+++ b/stonetrack/emulator/etcd.py
@@ -1,15 +1,15 @@
-"""A stand-in of etcd's v3 JSON gateway, for one node, with faults: range, txn, watch.
-
-Written from the published API; of txn the compares of MOD and CREATE, put and range.  ``Store`` is the state, without
-I/O; :class:`Gateway` the port.  Faults come by POST /fault: ``{"fault": NAME, "for_ms": N, ...}``
-
-``slow`` (``ms``)        every answer takes so much longer
-``late`` (``ms``)        writes are done at once and answered so late
-``lost``                 writes are done, and the connection closes without an answer
-``no_leader``            every call is answered 503, nothing is done
-``forget`` (``writes``)  the last writes are gone, as after a power cut of a machine that did not sync; with ``anew``
-                         their revisions are given out again
-``compact``              revisions up to now are compacted: a watch from before is cancelled
+"""An emulator of etcd's v3 JSON gateway with a single member and fault injection: range, txn, watch.
+
+Written from the published API; txn supports compares of MOD and CREATE, put and range.  ``Store`` is the state, without
+I/O; :class:`Gateway` serves it.  Faults are injected by POST /fault: ``{"fault": NAME, "for_ms": N, ...}``
+
+``slow`` (``ms``)        every response is delayed
+``late`` (``ms``)        writes are applied at once and their responses delayed
+``lost``                 writes are applied, and the connection closes without a response
+``no_leader``            every call fails with 503 and has no effect
+``forget`` (``writes``)  the last writes are lost, as after a power failure without sync; with ``anew`` their
+                         revisions are reused
+``compact``              revisions up to now are compacted: a watch from an earlier revision is cancelled
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
 
 
 class BadRequest(Exception):
-    """A request that the gateway does not take."""
+    """A request that the gateway rejects."""
 
 
 @dataclass
 class Store:
-    """Keys with their revisions; each write is remembered, to be forgotten."""
+    """Keys with their revisions, and a log of writes so that the last ones can be undone."""
 
     revision: int = 1
     keys: dict[bytes, tuple[bytes, int, int]] = field(default_factory=dict)  # value, create revision, mod revision
-    writes: list[tuple[bytes, tuple[bytes, int, int] | None]] = field(default_factory=list)  # what was there before
+    writes: list[tuple[bytes, tuple[bytes, int, int] | None]] = field(default_factory=list)  # key and previous entry
     compacted: int = 0
 
     def range(self, body: dict[str, Any]) -> dict[str, Any]:
@@ -56,28 +56,28 @@
 
     def _kv(self, key: bytes, keys_only: bool) -> dict[str, Any]:
         value, created, modified = self.keys[key]
-        told = {"key": _text(key), "create_revision": str(created), "mod_revision": str(modified)}
-        return told if keys_only else {**told, "value": _text(value)}
+        reply = {"key": _text(key), "create_revision": str(created), "mod_revision": str(modified)}
+        return reply if keys_only else {**reply, "value": _text(value)}
 
     def _header(self) -> dict[str, Any]:
         return {"revision": str(self.revision), "raft_term": "2"}
 
     def txn(self, body: dict[str, Any]) -> dict[str, Any]:
-        """KV.Txn: all compares hold, then ``success``, else ``failure``."""
-        good = all(self._holds(each) for each in body.get("compare", ()))
+        """KV.Txn: ``success`` if all compares hold, else ``failure``."""
+        succeeded = all(self._compare_holds(each) for each in body.get("compare", ()))
         answers = []
-        for asked in body.get("success" if good else "failure", ()):
-            if (put := asked.get("request_put")) is not None:
+        for operation in body.get("success" if succeeded else "failure", ()):
+            if (put := operation.get("request_put")) is not None:
                 self._put(_bytes(put, "key"), _bytes(put, "value"))
                 answers.append({"response_put": {"header": self._header()}})
-            elif (wanted := asked.get("request_range")) is not None:
-                answers.append({"response_range": self.range(wanted)})
+            elif (range_request := operation.get("request_range")) is not None:
+                answers.append({"response_range": self.range(range_request)})
             else:
                 raise BadRequest("etcdserver: request_put and request_range are served here")
-        told: dict[str, Any] = {"header": self._header(), "responses": answers}
-        return {**told, "succeeded": True} if good else told  # a false field is left out
+        reply: dict[str, Any] = {"header": self._header(), "responses": answers}
+        return {**reply, "succeeded": True} if succeeded else reply  # the gateway omits false fields
 
-    def _holds(self, compare: dict[str, Any]) -> bool:
+    def _compare_holds(self, compare: dict[str, Any]) -> bool:
         _, created, modified = self.keys.get(_bytes(compare, "key"), (b"", 0, 0))
         match compare.get("target"):
             case "MOD":
@@ -93,7 +93,7 @@
         self.keys[key] = (value, before[1] if before else self.revision, self.revision)
 
     def drop_writes(self, writes: int, anew: bool) -> None:
-        """Lose the last writes."""
+        """Undo the last writes; with ``anew`` their revisions are reused."""
         for _ in range(min(writes, len(self.writes))):
             key, before = self.writes.pop()
             if before is None:
@@ -119,7 +119,7 @@
 
 
 class Gateway:
-    """The port.  ``state`` keeps the store over restarts, synced at each write; none where it is None."""
+    """The HTTP server.  ``state`` is a file that persists the store, synced at each write; None for memory only."""
 
     def __init__(self, listener: socket, log: Callable[[str], None], state: Path | None = None) -> None:
         self.store = Store()
@@ -128,17 +128,17 @@
             self._load(state.read_bytes())
         self._lock = threading.Lock()
         self._changed = threading.Condition(self._lock)
-        self._faults: dict[str, tuple[float, float]] = {}  # until, milliseconds
-        bounds = Limits(workers=400, connections=2_000)
-        self._host = Host(listener, bounds, Timing(), self._handle, _refusal, log)
+        self._faults: dict[str, tuple[float, float]] = {}  # deadline in seconds, delay in milliseconds
+        limits = Limits(workers=400, connections=2_000)
+        self._host = Host(listener, limits, Timing(), self._handle, _refusal, log)
         self.calls = 0
 
     def start(self) -> None:
-        """Serve."""
+        """Start serving."""
         self._host.start()
 
     def stop(self) -> None:
-        """End."""
+        """Stop serving."""
         self._host.stop()
 
     def _load(self, data: bytes) -> None:
@@ -146,13 +146,13 @@
         self.store.revision = kept["revision"]
         self.store.keys = {base64.b64decode(k): (base64.b64decode(v), c, m) for k, v, c, m in kept["keys"]}
 
-    def _keep(self) -> None:
+    def _persist(self) -> None:
         if self._state is not None:
             keys = [[_text(k), _text(v), c, m] for k, (v, c, m) in self.store.keys.items()]
             save(self._state, msgspec.json.encode({"revision": self.store.revision, "keys": keys}))
 
-    def _in_force(self, fault: str) -> float | None:
-        """Its milliseconds, None where it is over."""
+    def _active_delay_ms(self, fault: str) -> float | None:
+        """The delay of a fault in milliseconds; None if the fault is not active."""
         until, ms = self._faults.get(fault, (0.0, 0.0))
         return ms if time.monotonic() < until else None
 
@@ -163,9 +163,9 @@
             body = msgspec.json.decode(request.body) if request.body else {}
             if head.path == "/fault":
                 return self._fault(connection, body)
-            if (ms := self._in_force("slow")) is not None:
+            if (ms := self._active_delay_ms("slow")) is not None:
                 time.sleep(ms / 1_000.0)
-            if self._in_force("no_leader") is not None:
+            if self._active_delay_ms("no_leader") is not None:
                 connection.write(
                     plain_response(503, msgspec.json.encode({"message": "etcdserver: no leader", "code": 14}))
                 )
@@ -175,15 +175,15 @@
             writes = head.path == "/v3/kv/txn"
             with self._changed:
                 before = self.store.revision
-                told = self.store.txn(body) if writes else self._range(head.path, body)
+                reply = self.store.txn(body) if writes else self._range(head.path, body)
                 if self.store.revision != before:
-                    self._keep()
+                    self._persist()
                     self._changed.notify_all()
-            if writes and self._in_force("lost") is not None:
+            if writes and self._active_delay_ms("lost") is not None:
                 return False
-            if writes and (ms := self._in_force("late")) is not None:
+            if writes and (ms := self._active_delay_ms("late")) is not None:
                 time.sleep(ms / 1_000.0)
-            connection.write(plain_response(200, msgspec.json.encode(told)))
+            connection.write(plain_response(200, msgspec.json.encode(reply)))
         except (BadRequest, msgspec.DecodeError, KeyError, ValueError, AttributeError) as error:
             connection.write(plain_response(400, msgspec.json.encode({"message": str(error), "code": 3})))
         return True
@@ -193,8 +193,8 @@
             raise BadRequest("served here: /v3/kv/range, /v3/kv/txn, /v3/watch")
         return self.store.range(body)
 
-    def _watch(self, connection: Connection, asked: dict[str, Any]) -> bool:
-        key, start = _bytes(asked, "key"), int(asked.get("start_revision", "0"))
+    def _watch(self, connection: Connection, create_request: dict[str, Any]) -> bool:
+        key, start = _bytes(create_request, "key"), int(create_request.get("start_revision", "0"))
         connection.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n")
         header = {"revision": str(self.store.revision)}
         connection.write(msgspec.json.encode({"result": {"header": header, "created": True}}) + b"\n")
@@ -202,8 +202,8 @@
         with self._changed:
             while time.monotonic() < end:
                 if start <= self.store.compacted:
-                    gone = {"header": header, "canceled": True, "compact_revision": str(self.store.compacted)}
-                    connection.write(msgspec.json.encode({"result": gone}) + b"\n")
+                    cancelled = {"header": header, "canceled": True, "compact_revision": str(self.store.compacted)}
+                    connection.write(msgspec.json.encode({"result": cancelled}) + b"\n")
                     return False
                 modified = self.store.keys.get(key, (b"", 0, 0))[2]
                 if modified >= start:
@@ -220,7 +220,7 @@
         with self._changed:
             if fault == "forget":
                 self.store.drop_writes(int(body.get("writes", 1)), bool(body.get("anew", False)))
-                self._keep()
+                self._persist()
             elif fault == "compact":
                 self.store.compacted = self.store.revision
             else:
--- a/stonetrack/pages/__init__.py
+++ b/stonetrack/pages/__init__.py
@@ -1,6 +1,6 @@
-"""What all report pages share, so that they look alike: style, tables, figures inside the page.
+"""Common parts of all report pages: style sheet, tables and inline figures.
 
 Inputs: rows and matplotlib figures.
 Outputs: HTML and SVG text.
-Must not depend on: what a page is about, files, sockets.
+Must not depend on: the content of a page, files, sockets.
 """
--- a/stonetrack/pages/style.py
+++ b/stonetrack/pages/style.py
@@ -1,4 +1,4 @@
-"""Style, tables, figures."""
+"""Style sheet, tables and figures of the report pages."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 """
 
 
-def table(head: list[str], rows: list[list[Any]], numbers: set[int]) -> str:
-    """An HTML table; ``numbers`` are the columns that hold figures."""
+def table(head: list[str], rows: list[list[Any]], numeric_columns: set[int]) -> str:
+    """An HTML table; ``numeric_columns`` are right-aligned."""
 
     def cell(tag: str, n: int, value: Any) -> str:
-        kind = ' class="n"' if n in numbers else ""
+        kind = ' class="n"' if n in numeric_columns else ""
         return f"<{tag}{kind}>{html.escape(str(value))}</{tag}>"
 
     lines = ["<tr>" + "".join(cell("th", n, v) for n, v in enumerate(head)) + "</tr>"]
@@ -29,7 +29,7 @@
 
 
 def as_svg(figure: Any) -> str:
-    """A matplotlib figure as an SVG element, and the end of the figure."""
+    """Convert a matplotlib figure to an SVG element and close the figure."""
     import matplotlib.pyplot as plt
 
     out = io.StringIO()
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -287,7 +287,7 @@
     for name in ("w0", "w1"):
         slot = node.engines.slots[name].engine
         assert slot is not None
-        slot.faults.halves = 0
+        slot.faults.truncations = 0
 
 
 def call_once(node: Harness, body: Any, **arguments: Any) -> tuple[http1.ResponseHead, Any]:
