--- a/tests/test_replaying.py
+++ b/tests/test_replaying.py
@@ -242,7 +242,7 @@
 
 def test_a_snapshot_of_revision_020f764_is_read_back() -> None:
     """The file is what that revision's ``snapshot.take`` gave after ``overlapping(300)``."""
-    data = (ROOT / "tests" / "cases" / "020f764.snapshot").read_bytes()
+    data = (ROOT / "tests" / "data" / "020f764.snapshot").read_bytes()
     router = snapshot.restore(data)
     assert snapshot.take(router) == data
     state = msgspec.msgpack.decode(data)[3]
