--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -146,8 +146,8 @@
 
 
 def keeper(folder: Path, logged: list[str], most_files: int = 8, file_bytes: int = 1 << 20) -> log_writer.LogWriter:
-    return log_writer.LogWriter(folder, "n0", "boot", lambda: 0, every=1, file_bytes=file_bytes, most_files=most_files,
-                          log=logged.append)  # fmt: skip
+    return log_writer.LogWriter(folder, "n0", "boot", lambda: 0, max_duration=1, max_file_bytes=file_bytes,
+                                max_files=most_files, log=logged.append)  # fmt: skip
 
 
 def noted(audit_keeper: log_writer.LogWriter, count: int, first: int = 0) -> None:
@@ -163,14 +163,14 @@
     audit_keeper = keeper(tmp_path, logged)
     if step != "folder":  # the very first write creates the file
         noted(audit_keeper, 3)
-        audit_keeper._write(all_of=True)
+        audit_keeper._write(close_all=True)
     noted(audit_keeper, 3, 3)
     with monkeypatch.context() as patched:
         at = FaultAtStep(patched, step, fails(errno.EIO))
-        audit_keeper._write(all_of=True)
+        audit_keeper._write(close_all=True)
         assert at.done and audit_keeper.last_error and len(logged) == 1
     noted(audit_keeper, 3, 6)
-    audit_keeper._write(all_of=True)
+    audit_keeper._write(close_all=True)
     found = log_writer.read_log(tmp_path, "n0")
     assert not audit_keeper.last_error and found.findings == ()
     assert len(log_writer.log_files(tmp_path, "n0")) == 2
@@ -189,7 +189,7 @@
     monkeypatch.setattr(Path, "unlink", refused)
     for n in range(5):
         noted(audit_keeper, 1, n)
-        audit_keeper._write(all_of=True)
+        audit_keeper._write(close_all=True)
     found = log_writer.read_log(tmp_path, "n0")
     assert found.findings == () and not audit_keeper.last_error
 
@@ -198,10 +198,10 @@
     """An LMDB store whose transactions fail at one step."""
 
     def __init__(self, store: Any, step: str) -> None:
-        self._store, self._step = store, step
+        self._environment, self._step = store, step
 
     def begin(self, write: bool = False) -> Any:
-        transaction = self._store.begin(write=write)
+        transaction = self._environment.begin(write=write)
         if not write:
             return transaction
         if self._step == "begin":
@@ -210,7 +210,7 @@
         return _FailingTransaction(transaction, self._step)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self._store, name)
+        return getattr(self._environment, name)
 
 
 class _FailingTransaction:
@@ -239,11 +239,11 @@
     """A failed commit may be on disk or not: the lease must count neither as lost nor as held."""
     register = EmbeddedStore(tmp_path / "register")
     assert register.compare_and_set("k", 0, b"a") == 1
-    store = register._store
-    register._store = _FailingStore(store, step)  # type: ignore[assignment]
+    store = register._environment
+    register._environment = _FailingStore(store, step)  # type: ignore[assignment]
     with pytest.raises(StoreError) as raised:
         register.compare_and_set("k", 1, b"b")
     assert isinstance(raised.value, UnknownOutcome) == unknown
-    register._store = store
+    register._environment = store
     assert register.read("k").value == b"a" and register.compare_and_set("k", 1, b"c") == 2
     register.close()
